--- a/bench/capacityModel.ts
+++ b/bench/capacityModel.ts
@@ -2,7 +2,7 @@
 
 import { FrameCodec } from "@marigolddrift/daemon";
 import type { PeerMessage, WorkerLoad } from "@marigolddrift/daemon";
-import { intend, reserve, takeOver } from "@marigolddrift/ledger";
+import { addIntent, claimSlot, raiseReservation } from "@marigolddrift/ledger";
 import type { SlotRecord } from "@marigolddrift/ledger";
 
 /** The target of the users' first letter. */
@@ -78,16 +78,16 @@
 });
 
 /** Record of a slot without programs. */
-export const emptyRecord = (): SlotRecord => ({ ...takeOver(undefined, 1_234, instance), nonce });
+export const emptyRecord = (): SlotRecord => ({ ...claimSlot(undefined, 1_234, instance), nonce });
 
 /** Record of a slot with programs and intents. */
 export const recordWith = (programs: number, intents: number): SlotRecord => {
     let record = emptyRecord();
     for (let index = 0; index < programs; index++) {
-        record = reserve(record, `prog${String(index).padStart(8, "0")}`, 50_000, 1_800_000_000_000);
+        record = raiseReservation(record, `prog${String(index).padStart(8, "0")}`, 50_000, 1_800_000_000_000);
     }
     for (let index = 0; index < intents; index++) {
-        record = intend(record, String(index).padStart(32, "0"), "r".repeat(32), 1_800_000_000_000);
+        record = addIntent(record, String(index).padStart(32, "0"), "r".repeat(32), 1_800_000_000_000);
     }
     return record;
 };
--- a/bench/capacityTimed.ts
+++ b/bench/capacityTimed.ts
@@ -1,9 +1,9 @@
 /** Figures of the capacity page that differ from machine to machine. */
-import { createKeyPair, historyChain, signBundle } from "@marigolddrift/common";
+import { createKeyPair, historyDigests, signBundle } from "@marigolddrift/common";
 import type { Message } from "@marigolddrift/common";
 import { FrameCodec, stretchFor } from "@marigolddrift/daemon";
 import type { PeerMessage } from "@marigolddrift/daemon";
-import { handOver, packRecord, unpackRecord } from "@marigolddrift/ledger";
+import { packRecord, releaseSlot, unpackRecord } from "@marigolddrift/ledger";
 
 import { defaultCostModel, place } from "@marigolddrift/policy";
 import type { WorkerView } from "@marigolddrift/policy";
@@ -28,9 +28,9 @@
 const view = (index: number): WorkerView => ({
     worker: `w${index}`,
     zone: "z",
-    ownInFlight: index % 5,
+    localInFlight: index % 5,
     reportedInFlight: index % 16,
-    ownAtReport: index % 3,
+    localInFlightAtReport: index % 3,
     reportAgeMs: 500,
     cachedTokens: index % 33 === 0 ? 4_000 : 0,
     exportedTokens: 0,
@@ -57,12 +57,12 @@
     const [few, many] = [decide(11), decide(99)];
     const history = (tokens: number): number => {
         const messages = Array.from({ length: 20 }, () => message(tokens / 20));
-        return microsOf(() => historyChain("p", messages), 5);
+        return microsOf(() => historyDigests("p", messages), 5);
     };
     const [short, long] = [history(20_000), history(520_000)];
     const store = (programs: number): number => {
         const record = recordWith(programs, programs);
-        return microsOf(() => unpackRecord(packRecord(handOver(record))), 50);
+        return microsOf(() => unpackRecord(packRecord(releaseSlot(record))), 50);
     };
     const [small, large] = [store(10), store(200)];
     const pair = createKeyPair();
--- a/bench/policy/benchScheduler.ts
+++ b/bench/policy/benchScheduler.ts
@@ -145,12 +145,12 @@
             this.memory.onEnded(program.name);
         }
         else {
-            this.memory.view.forget(program.name);
+            this.memory.view.removeProgram(program.name);
         }
     }
 
     private admit(program: BenchProgram, progress: Progress): void {
-        const decision = this.dispatcher.admission(model, program.turns === 0, progress.leftMs, 0);
+        const decision = this.dispatcher.checkAdmission(model, program.turns === 0, progress.leftMs, 0);
         if (decision.kind === "refuse") {
             const retryAfterSeconds = Math.ceil(decision.retryAfterMs / 1000);
             throw new ProblemError("overloaded", "notRun", decision.reason, { retryAfterSeconds });
@@ -179,7 +179,7 @@
             if (result.usage !== undefined) {
                 upstream.onSuccess();
                 upstream.onObserved((Date.now() - sentAt) / (lease.score.expectedMs || 1));
-                this.dispatcher.onServed(model, Date.now() - sentAt);
+                this.dispatcher.recordServiceTime(model, Date.now() - sentAt);
                 this.finish(program, req, prompt, lease.worker, result.usage);
                 return;
             }
@@ -204,7 +204,7 @@
             workspace: "w",
             attainedMs: program.attainedMs,
             priority: middlePriority,
-            since: performance.now(),
+            enqueuedAt: performance.now(),
             deadline: performance.now() + program.deadline - Date.now(),
             expectedMs: expectedTokens * 20,
             workspaceLoad: 0,
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -1,12 +1,12 @@
 /** The scheduler's policy and the baselines that it is measured against. */
 import type { OrderFunction } from "@marigolddrift/dispatch";
-import { createPlacement, firstCome, nextCall } from "@marigolddrift/policy";
-import type { PlaceFunction, PlacementName } from "@marigolddrift/policy";
+import { createPlacement, firstComeFirstServed, nextCall } from "@marigolddrift/policy";
+import type { PlacementFunction, PlacementName } from "@marigolddrift/policy";
 
 /** A way to schedule. */
 export interface BenchPolicy {
     readonly name: string;
-    createPlace(): PlaceFunction;
+    createPlace(): PlacementFunction;
     readonly order: OrderFunction;
     readonly admission: boolean;
     /** Whether calls wait in the scheduler while workers are full, or at the engines. */
@@ -20,7 +20,7 @@
 const baseline = (name: string, placement: PlacementName): BenchPolicy => ({
     name,
     createPlace: () => createPlacement(placement),
-    order: firstCome,
+    order: firstComeFirstServed,
     admission: false,
     boundsInFlight: false,
     priorities: false,
@@ -42,13 +42,20 @@
     baseline("least outstanding", "leastOutstanding"),
     baseline("consistent hashing", "consistentHashing"),
     baseline("cache affinity", "cacheAffinity"),
-    { ...marigolddrift, name: "first come", order: firstCome, priorities: false, retention: false, admission: false },
+    {
+        ...marigolddrift,
+        name: "first come",
+        order: firstComeFirstServed,
+        priorities: false,
+        retention: false,
+        admission: false,
+    },
 ];
 
 /** Parts of the policy alone, to see what each brings. */
 export const ablations: readonly BenchPolicy[] = [
     { ...marigolddrift, name: "without retention", retention: false },
-    { ...marigolddrift, name: "without ordering", order: firstCome, priorities: false },
+    { ...marigolddrift, name: "without ordering", order: firstComeFirstServed, priorities: false },
     { ...marigolddrift, name: "without admission", admission: false },
     { ...marigolddrift, name: "queues at engines", boundsInFlight: false },
 ];
--- a/packages/common/src/bundle.ts
+++ b/packages/common/src/bundle.ts
@@ -1,53 +1,54 @@
-/** Schema of the configuration bundle that operators roll out. */
+/** Schema of the configuration bundle that operators roll out to the instances. */
 import { z } from "zod";
 
 import { iniFlag, iniList, iniNumber, parseIni } from "./iniFile.js";
 
-const name = z.string().regex(/^[a-z][a-z0-9-]{0,62}$/, "must be lower-case letters, digits and hyphens");
+const nameSchema = z.string().regex(/^[a-z][a-z0-9-]{0,62}$/, "must be lower-case letters, digits and hyphens");
 
-/** A customer of the operators; callers authenticate with its key. */
+/** A tenant; callers authenticate with one of its keys. */
 export const workspaceSchema = z.strictObject({
-    /** SHA-256 digests, in hexadecimal, of the keys that callers may use. */
+    /** SHA-256 digests, in hexadecimal, of the accepted keys. */
     keySha256: iniList,
     /** Share of capacity under overload, relative to other workspaces. */
     weight: iniNumber(0.01).default(1),
-    /** Calls of this workspace that one instance works on at a time. */
+    /** Concurrency limit for calls of this workspace on one instance. */
     maxInFlight: iniNumber(1).default(1000),
 });
 
-/** A kind of program. */
+/** Model, priority and limits for the programs of one agent. */
 export const agentSchema = z.strictObject({
-    model: name,
+    model: nameSchema,
     adapter: z.string().default(""),
-    /** Smaller numbers go first. */
+    /** From 0 (highest) to 9 (lowest). */
     priority: iniNumber(0, 9).default(5),
-    /** Tokens a program may spend if it names no budget. */
+    /** Default token budget of a program. */
     budget: iniNumber(1).default(200_000),
+    /** Maximum token budget that a program may request. */
     maxBudget: iniNumber(1).default(2_000_000),
     maxTurns: iniNumber(1).default(240),
     maxTokensPerCall: iniNumber(1).default(1024),
-    /** Seconds a program may take if it names no deadline. */
+    /** Default time limit of a program. */
     deadlineSeconds: iniNumber(1).default(900),
-    /** Identical consecutive turns that end a program. */
+    /** Number of identical consecutive turns after which a program is ended. */
     loopLimit: iniNumber(2).default(4),
 });
 
-/** A group of model engines. */
+/** A group of inference workers that serve the same models. */
 export const poolSchema = z.strictObject({
     models: iniList,
     /** `zone=host:port` of each worker. */
     workers: iniList,
-    /** Calls that one worker gets at a time, from all instances. */
+    /** Concurrency limit of one worker, over all instances. */
     maxInFlightPerWorker: iniNumber(1).default(16),
-    /** Whether the engines refuse an order with an old fencing number. */
+    /** Whether the engines reject orders with an outdated fencing token. */
     checksFencing: iniFlag.default(false),
-    /** Milliseconds to prefill one token that is not cached. */
+    /** Time to prefill one uncached token. */
     prefillMsPerToken: iniNumber(0).default(0.04),
-    /** Milliseconds of a decoding step of one sequence. */
+    /** Duration of a decode step with a single sequence. */
     decodeBaseMs: iniNumber(0).default(10),
-    /** Milliseconds that each further sequence adds to a step. */
+    /** Time that each additional sequence adds to a decode step. */
     decodePerSequenceMs: iniNumber(0).default(0.75),
-    /** Milliseconds to import one exported token. */
+    /** Time to import one token of an exported prefix. */
     importMsPerToken: iniNumber(0).default(0.004),
     /** Adapters, as `name@version`, that every worker should have loaded. */
     adapters: iniList.default([]),
@@ -55,21 +56,21 @@
     role: z.string().default("serve"),
 });
 
-/** A tool or a plain service. */
+/** A tool or other HTTP service. */
 export const serviceSchema = z.strictObject({
     /** `zone=host:port` of each upstream. */
     upstreams: iniList,
-    /** Whether a call may be sent twice. */
+    /** Whether a call may be retried after it may have run. */
     idempotent: iniFlag.default(false),
     timeoutSeconds: iniNumber(0.1).default(30),
 });
 
-/** An availability zone and the region that it is in. */
-export const zoneSchema = z.strictObject({ region: name });
+/** An availability zone. */
+export const zoneSchema = z.strictObject({ region: nameSchema });
 
 /** An operator who reviews and signs bundles. */
 export const operatorSchema = z.strictObject({
-    /** Ed25519 public key, base64 of its DER form. */
+    /** Ed25519 public key in DER format, base64-encoded. */
     publicKey: z.string().min(40),
 });
 
@@ -78,13 +79,13 @@
     slots: iniNumber(1, 65_536).refine(count => Number.isInteger(Math.log2(count)), "must be a power of two").default(
         256,
     ),
-    /** Part of a budget that is reserved at a time. */
+    /** Share of a program's budget that is reserved in the ledger at a time. */
     budgetChunkShare: iniNumber(0.01, 1).default(0.25),
-    /** Extra attempts allowed per ordinary request. */
+    /** Retries allowed per regular request. */
     retryShare: iniNumber(0, 1).default(0.2),
-    /** Bytes per second that one instance sends to other regions. */
+    /** Bandwidth limit of one instance for requests to other regions. */
     regionLinkBytesPerSecond: iniNumber(1).default(250_000),
-    /** Seconds for which the outcome of a call that is not idempotent is kept. */
+    /** Retention period of the outcomes of non-idempotent calls. */
     outcomeRetentionSeconds: iniNumber(60).default(86_400),
 });
 
@@ -94,12 +95,12 @@
         title: z.string().default(""),
     }),
     limits: limitsSchema.prefault({}),
-    zone: z.record(name, zoneSchema),
-    operator: z.record(name, operatorSchema).default({}),
-    workspace: z.record(name, workspaceSchema),
-    agent: z.record(name, agentSchema),
-    pool: z.record(name, poolSchema),
-    service: z.record(name, serviceSchema).default({}),
+    zone: z.record(nameSchema, zoneSchema),
+    operator: z.record(nameSchema, operatorSchema).default({}),
+    workspace: z.record(nameSchema, workspaceSchema),
+    agent: z.record(nameSchema, agentSchema),
+    pool: z.record(nameSchema, poolSchema),
+    service: z.record(nameSchema, serviceSchema).default({}),
 });
 export type Bundle = z.infer<typeof bundleSchema>;
 export type Agent = z.infer<typeof agentSchema>;
@@ -107,9 +108,9 @@
 export type Service = z.infer<typeof serviceSchema>;
 
 /**
- * Parses a bundle and checks the references between its sections.
+ * Parses a bundle and validates the references between its sections.
  *
- * @throws SettingsError naming section and key.
+ * @throws SettingsError with the section and key of each problem.
  */
 export const parseBundle = (text: string, file = "bundle"): Bundle =>
     parseIni(bundleSchema.superRefine(checkReferences), text, file);
@@ -143,14 +144,14 @@
 
 const addressPattern = /^[a-z0-9-]+=[^\s=]+:\d+$/;
 
-/** An upstream's availability zone and address. */
+/** Availability zone and network address of an upstream. */
 export interface UpstreamAddress {
     readonly zone: string;
     readonly address: string;
 }
 
-/** Splits `zone=host:port`. */
+/** Parses `zone=host:port`. */
 export const parseAddress = (text: string): UpstreamAddress => {
-    const cut = text.indexOf("=");
-    return { zone: text.slice(0, cut), address: text.slice(cut + 1) };
+    const separator = text.indexOf("=");
+    return { zone: text.slice(0, separator), address: text.slice(separator + 1) };
 };
--- a/packages/common/src/digest.ts
+++ b/packages/common/src/digest.ts
@@ -1,9 +1,9 @@
-/** Hashes: history digests, slots of keys, and rendezvous ranks. */
+/** Hash functions for digests, slot assignment and rendezvous hashing. */
 import { createHash } from "node:crypto";
 
 const digestBytes = 16;
 
-/** Hashes the parts, separated unambiguously, into a short hexadecimal digest. */
+/** Hashes the parts into a 128-bit hexadecimal digest; lengths are included, so that the parts are unambiguous. */
 export const digest = (...parts: readonly string[]): string => {
     const hash = createHash("sha256");
     for (const part of parts) {
@@ -17,11 +17,11 @@
 export const hash32 = (...parts: readonly string[]): number =>
     createHash("sha256").update(parts.join("\u0000")).digest().readUInt32BE(0);
 
-/** Slot of a key; `slotCount` is a power of two. */
+/** Maps a key to a slot; `slotCount` must be a power of two. */
 export const slotOf = (key: string, slotCount: number): number => hash32("slot", key) % slotCount;
 
 /**
- * Orders candidates by rendezvous hashing: each key has its own order, and removing one candidate moves only its keys.
+ * Orders candidates by rendezvous hashing: the order depends on the key, and removing a candidate reassigns only its own keys.
  *
  * @example
  * const [owner] = rendezvous("slot-17", ["a", "b", "c"]);
--- a/packages/common/src/httpAnswers.ts
+++ b/packages/common/src/httpAnswers.ts
@@ -1,9 +1,9 @@
-/** Renders problems as HTTP answers. */
+/** HTTP responses with problem documents and JSON. */
 import type { ServerResponse } from "node:http";
 
 import type { ProblemError } from "./verdict.js";
 
-/** Answers with a problem document; does nothing if the answer has begun. */
+/** Responds with a problem document, unless the response headers are already sent or the connection is closed. */
 export const sendProblem = (res: ServerResponse, err: ProblemError): void => {
     if (res.headersSent || res.destroyed) {
         return;
@@ -15,7 +15,7 @@
     res.end(JSON.stringify(err.toProblem()));
 };
 
-/** Answers with a JSON document. */
+/** Responds with a JSON document. */
 export const sendJson = (
     res: ServerResponse,
     status: number,
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** Shared building blocks of all processes. */
+/** Code shared by all packages. */
 export * from "./bundle.js";
 export * from "./bundleDocument.js";
 export * from "./digest.js";
--- a/packages/common/src/iniFile.ts
+++ b/packages/common/src/iniFile.ts
@@ -1,10 +1,10 @@
-/** INI files checked by a schema, with errors that name the place and the cure. */
+/** INI files validated by a schema; error messages contain the location and the remedy. */
 import { parse } from "ini";
 import { readFileSync } from "node:fs";
 import VError from "verror";
 import { z } from "zod";
 
-/** A setting that is missing or wrong; the message names file, section, key and cure. */
+/** Missing or invalid settings; the message lists the file, section, key and remedy of each. */
 export class SettingsError extends VError {
     constructor(file: string, problems: readonly string[]) {
         super({ name: "SettingsError" }, "%s", [`${file} is not valid:`, ...problems].join("\n  - "));
@@ -12,14 +12,14 @@
 }
 
 /**
- * Parses INI text and checks it.
+ * Parses and validates INI text.
  *
  * @example
  * const cfg = parseIni(settingsSchema, text, "tunis-a-1.ini");
- * @throws SettingsError naming each section and key that is wrong.
+ * @throws SettingsError with the section and key of each problem.
  */
 export const parseIni = <T extends z.ZodType>(schema: T, text: string, file: string): z.infer<T> => {
-    const raw = plain(parse(text));
+    const raw = toPlainObjects(parse(text));
     const result = schema.safeParse(raw);
     if (!result.success) {
         throw new SettingsError(file, result.error.issues.map(describe));
@@ -27,7 +27,7 @@
     return result.data;
 };
 
-/** Reads an INI file and checks it. */
+/** Reads and validates an INI file. */
 export const readIni = <T extends z.ZodType>(schema: T, file: string): z.infer<T> => {
     let text: string;
     try {
@@ -49,20 +49,21 @@
     return `[${section}] ${key}: ${issue.message}. Set "${key}" in section [${section}] accordingly.`;
 };
 
-const plain = (value: unknown): unknown => {
+/** Copies parsed sections into ordinary objects, since `ini` creates them without a prototype. */
+const toPlainObjects = (value: unknown): unknown => {
     if (typeof value !== "object" || value === null || Array.isArray(value)) {
         return value;
     }
-    return Object.fromEntries(Object.entries(value).map(([key, entry]) => [key, plain(entry)]));
+    return Object.fromEntries(Object.entries(value).map(([key, entry]) => [key, toPlainObjects(entry)]));
 };
 
-/** Schema of a number written in an INI file. */
+/** Schema of a number in an INI file. */
 export const iniNumber = (min: number, max = Number.MAX_SAFE_INTEGER) => z.coerce.number().min(min).max(max);
 
-/** Schema of a yes/no value written in an INI file. */
+/** Schema of a boolean in an INI file. */
 export const iniFlag = z.union([z.boolean(), z.stringbool()]);
 
-/** Schema of a comma-separated list written in an INI file. */
+/** Schema of a comma-separated list in an INI file. */
 export const iniList = z.union([z.array(z.string()), z.string()]).transform(value =>
     (Array.isArray(value) ? value : value.split(",")).map(item => item.trim()).filter(item => item !== "")
 );
--- a/packages/common/src/lineLogger.ts
+++ b/packages/common/src/lineLogger.ts
@@ -1,32 +1,32 @@
-/** Structured logs that never block: one JSON object a line, in a bounded buffer, written in the background. */
+/** Non-blocking structured logger: writes JSON lines asynchronously from a bounded buffer. */
 import { write } from "node:fs";
 
 import type { Logger, LogLevel } from "./log.js";
 
-/** Bytes that may wait to be written; lines beyond are dropped and counted. */
+/** Buffer limit; lines beyond it are dropped and counted. */
 const maxBufferedBytes = 512 * 1024;
 
-/** Pause after a write that could not be done at once, in milliseconds. */
-const retryMs = 20;
+/** Delay before a failed write is retried. */
+const writeRetryDelayMs = 20;
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Writes bytes somewhere and calls back with how many were taken. */
+/** Writes bytes to the log output and calls back with the number of bytes written. */
 export type WriteFunction = (bytes: Buffer, done: (err: Error | undefined, written: number) => void) => void;
 
-/** Writes to the standard output. */
+/** Writes to the standard output without blocking. */
 export const writeToStdout: WriteFunction = (bytes, done) =>
     write(1, bytes, (err, written) => done(err ?? undefined, written));
 
 /**
- * A logger for processes under load. When the reader is slow, whole lines are dropped; the next line that is written
- * says how many.
+ * A logger for processes under load. When the output is read too slowly, whole lines are dropped, and their number is logged
+ * as soon as the buffer has space again.
  *
  * @example
  * new LineLogger({ instance: "front-1" }).info("placed", { request: "9c41", worker: "i-7f3a" });
  */
 export class LineLogger implements Logger {
-    /** Lines that were dropped since the start. */
+    /** Number of lines dropped since the logger was created. */
     dropped = 0;
     private reportedDropped = 0;
     private lines: string[] = [];
@@ -51,10 +51,10 @@
         this.add("info", event, fields);
     }
 
-    /** Debug lines are never written: under load they would displace the others. */
+    /** Discards debug lines: under load they would fill the buffer and displace other lines. */
     debug(): void {}
 
-    /** Waits until all lines are written, but no longer than a time in milliseconds. */
+    /** Waits until all lines are written or the timeout has elapsed. */
     async flush(timeoutMs: number): Promise<void> {
         const endsAt = performance.now() + timeoutMs;
         while ((this.writing || this.lines.length > 0) && performance.now() < endsAt) {
@@ -95,8 +95,8 @@
 
     private onWritten(bytes: Buffer, err: Error | undefined, written: number): void {
         if (err !== undefined) {
-            // The reader is slow or gone; nobody is left to tell, and the bytes stay until the buffer is full.
-            setTimeout(() => this.drain(), retryMs).unref();
+            // The output is full or closed. The error cannot be logged; the bytes stay buffered and the write is retried.
+            setTimeout(() => this.drain(), writeRetryDelayMs).unref();
             return;
         }
         this.bufferedBytes = Math.max(0, this.bufferedBytes - written);
@@ -108,7 +108,7 @@
         if (this.dropped > this.reportedDropped && this.bufferedBytes <= maxBufferedBytes) {
             const lines = this.dropped - this.reportedDropped;
             this.reportedDropped = this.dropped;
-            this.add("warn", "log lines dropped", { lines, reason: "the reader of the log is slow" });
+            this.add("warn", "log lines dropped", { lines, reason: "log reader is too slow" });
         }
     }
 }
--- a/packages/common/src/log.ts
+++ b/packages/common/src/log.ts
@@ -1,4 +1,4 @@
-/** Logs by consola: readable lines for people, JSON lines for machines. */
+/** Structured logging with consola, as human-readable or JSON lines. */
 import { createConsola } from "consola";
 
 export type LogFormat = "pretty" | "json";
@@ -8,7 +8,7 @@
 const levels: Record<LogLevel, number> = { error: 0, warn: 1, info: 3, debug: 4 };
 const secretKeys = new Set(["key", "token", "authorization", "secret", "password"]);
 
-/** Writes structured log lines. */
+/** Writes structured log lines; `event` is a constant name, and details belong in `fields`. */
 export interface Logger {
     error(event: string, fields?: Fields): void;
     warn(event: string, fields?: Fields): void;
@@ -16,8 +16,8 @@
     debug(event: string, fields?: Fields): void;
 }
 
-const withoutSecrets = (fields: Fields): Fields =>
-    Object.fromEntries(Object.entries(fields).map(([key, value]) => [key, secretKeys.has(key) ? "[hidden]" : value]));
+const redactSecrets = (fields: Fields): Fields =>
+    Object.fromEntries(Object.entries(fields).map(([key, value]) => [key, secretKeys.has(key) ? "[redacted]" : value]));
 
 const prettyFields = (fields: Fields): string =>
     Object.entries(fields).map(([key, value]) => `${key}=${typeof value === "string" ? value : JSON.stringify(value)}`)
@@ -38,10 +38,10 @@
         if (output.level < levels[name]) {
             return;
         }
-        const safe = withoutSecrets(fields);
+        const redacted = redactSecrets(fields);
         const line = format === "json" ?
-            JSON.stringify({ time: new Date().toISOString(), level: name, event, ...base, ...safe }) :
-            `${event} ${prettyFields(safe)}`;
+            JSON.stringify({ time: new Date().toISOString(), level: name, event, ...base, ...redacted }) :
+            `${event} ${prettyFields(redacted)}`;
         output[name](line);
     };
     return {
--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -1,7 +1,7 @@
-/** Metrics in StatsD form by hot-shots. */
+/** StatsD metrics, sent by hot-shots. */
 import { StatsD } from "hot-shots";
 
-/** Counts and times what a process does. */
+/** Sink for the counters, timings and gauges of a process. */
 export interface Metrics {
     count(name: string, by?: number): void;
     timing(name: string, ms: number): void;
@@ -9,13 +9,13 @@
     close(): void;
 }
 
-/** Where StatsD packets go; an empty host turns metrics off. */
+/** Address of the StatsD server; an empty host disables metrics. */
 export interface MetricsTarget {
     readonly host: string;
     readonly port: number;
 }
 
-/** Creates metrics with the prefix `marigolddrift.`. */
+/** Creates a StatsD client whose metric names have the prefix `marigolddrift.`. */
 export const createMetrics = (target: MetricsTarget, tags: Readonly<Record<string, string>>): Metrics => {
     const client = new StatsD({
         host: target.host || "127.0.0.1",
@@ -29,13 +29,14 @@
     if (target.host === "") {
         client.mockBuffer = [];
     }
-    const drop = (): void => {
+    // When metrics are disabled, hot-shots collects them in its mock buffer, which would grow without bound.
+    const discardMockBuffer = (): void => {
         client.mockBuffer?.splice(0);
     };
     return {
-        count: (name, by = 1) => (client.increment(name, by), drop()),
-        timing: (name, ms) => (client.timing(name, ms), drop()),
-        gauge: (name, value) => (client.gauge(name, value), drop()),
+        count: (name, by = 1) => (client.increment(name, by), discardMockBuffer()),
+        timing: (name, ms) => (client.timing(name, ms), discardMockBuffer()),
+        gauge: (name, value) => (client.gauge(name, value), discardMockBuffer()),
         close: () => client.close(() => {}),
     };
 };
--- a/packages/common/src/programId.ts
+++ b/packages/common/src/programId.ts
@@ -1,4 +1,4 @@
-/** Program ids: signed tokens that carry what a new owner needs to know of a program that was never written down. */
+/** Program ids: signed tokens with the claims from which a new owner can restore a program that has no ledger entry. */
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
 import { z } from "zod";
 
@@ -15,27 +15,27 @@
     z.number().int().min(1),
 ]);
 
-/** What a program id says about its program. */
+/** Claims in a program id. */
 export interface ProgramClaims {
-    /** Random part, which makes the id unique. */
+    /** Random value that makes the id unique. */
     readonly nonce: string;
     readonly slot: number;
-    /** Epoch of the slot when the program was opened. */
+    /** Epoch of the slot at the time the program was opened. */
     readonly epoch: number;
     readonly workspace: string;
     readonly agent: string;
-    /** Tokens the program may spend. */
+    /** Token budget of the program. */
     readonly budget: number;
-    /** Tokens of the budget that count as reserved from the start. */
+    /** Part of the budget that counts as reserved from the start, without a write to the ledger. */
     readonly firstChunk: number;
-    /** End of the program, in epoch milliseconds. */
+    /** Deadline of the program, in epoch milliseconds. */
     readonly deadline: number;
 }
 
-/** Creates a random part for a program id. */
+/** Creates the random value for a program id. */
 export const newNonce = (): string => randomBytes(9).toString("base64url");
 
-const sign = (payload: string, key: string): Buffer =>
+const signatureOf = (payload: string, key: string): Buffer =>
     createHmac("sha256", key).update(payload).digest().subarray(0, signatureBytes);
 
 /**
@@ -48,18 +48,20 @@
     const { nonce, slot, epoch, workspace, agent, budget, firstChunk, deadline } = claims;
     const fields = [nonce, slot, epoch, workspace, agent, budget, firstChunk, deadline];
     const payload = Buffer.from(JSON.stringify(fields)).toString("base64url");
-    return `p.${payload}.${sign(payload, key).toString("base64url")}`;
+    return `p.${payload}.${signatureOf(payload, key).toString("base64url")}`;
 };
 
-/** Decodes a program id, or returns undefined if it is malformed or its signature is wrong. */
+/** Decodes a program id signed with any of the keys; returns `undefined` if it is malformed or its signature is invalid. */
 export const decodeProgramId = (id: string, keys: readonly string[]): ProgramClaims | undefined => {
     const [prefix, payload, signature, ...rest] = id.split(".");
     if (prefix !== "p" || payload === undefined || signature === undefined || rest.length > 0) {
         return undefined;
     }
     const given = Buffer.from(signature, "base64url");
-    const valid = keys.some(key => given.length === signatureBytes && timingSafeEqual(given, sign(payload, key)));
-    return valid ? parseClaims(payload) : undefined;
+    const isValid = keys.some(key =>
+        given.length === signatureBytes && timingSafeEqual(given, signatureOf(payload, key))
+    );
+    return isValid ? parseClaims(payload) : undefined;
 };
 
 const parseClaims = (payload: string): ProgramClaims | undefined => {
--- a/packages/common/src/progress.ts
+++ b/packages/common/src/progress.ts
@@ -1,12 +1,13 @@
-/** The deadline and abort signal that every wait of a request receives. */
+/** Deadline and cancellation for asynchronous operations. */
 import { setMaxListeners } from "node:events";
 
 import { ProblemError } from "./verdict.js";
 
+/** Maximum delay of `setTimeout`, which fires at once for larger values. */
 const maxTimerMs = 2_147_483_647;
 
 /**
- * Deadline and cancellation of one piece of work.
+ * Deadline and abort signal of one operation, passed to everything that the operation waits for.
  *
  * @example
  * const progress = new Progress(5_000);
@@ -15,21 +16,21 @@
 export class Progress {
     readonly signal: AbortSignal;
     private readonly controller = new AbortController();
-    /** Time of the monotonic clock, so that steps of the time of day move no deadline. */
+    /** Monotonic time, so that adjustments of the wall clock do not change the deadline. */
     private readonly endsAt: number;
     private readonly timer: NodeJS.Timeout;
-    private lastLook: NodeJS.Immediate | undefined;
+    private pendingAbort: NodeJS.Immediate | undefined;
     private readonly parent: AbortSignal | undefined;
     private readonly onParentAbort = (): void => this.abort(this.parent?.reason);
 
     /**
-     * @param timeoutMs Time after which waits fail, in milliseconds.
-     * @param parent Signal that aborts this work as well.
+     * @param timeoutMs Time until the deadline, in milliseconds.
+     * @param parent Signal that also aborts this operation.
      */
     constructor(timeoutMs: number, parent?: AbortSignal) {
         this.endsAt = performance.now() + timeoutMs;
         this.signal = this.controller.signal;
-        // One request may wait for many answers at once, as when all machines are asked for a turn.
+        // An operation may have many concurrent waits, for example when it queries all machines for a turn.
         setMaxListeners(0, this.signal);
         this.parent = parent;
         this.timer = setTimeout(() => this.onDeadline(), Math.min(this.leftMs, maxTimerMs));
@@ -42,44 +43,44 @@
         }
     }
 
-    /** Milliseconds left until the deadline, at least 0. */
+    /** Time until the deadline, at least 0. */
     get leftMs(): number {
         return Math.max(0, this.endsAt - performance.now());
     }
 
-    /** Ends all waits with the given reason. */
+    /** Aborts the operation: all its waits reject with the given reason. */
     abort(reason: unknown): void {
         this.controller.abort(reason);
         this.dispose();
     }
 
-    /** Timers run before input after a stall of the process: what has arrived in the meantime is read first. */
+    /** Defers the abort until pending I/O is processed: after a stall of the process, timers run before input is read. */
     private onDeadline(): void {
-        this.lastLook = setImmediate(() => this.abort(deadlineError()));
+        this.pendingAbort = setImmediate(() => this.abort(deadlineError()));
     }
 
-    /** Releases the timer; call it once the work has ended. */
+    /** Releases the timer and the parent's listener; must be called when the operation has ended. */
     dispose(): void {
         clearTimeout(this.timer);
-        clearImmediate(this.lastLook);
+        clearImmediate(this.pendingAbort);
         this.parent?.removeEventListener("abort", this.onParentAbort);
     }
 
-    /** Fails if the work was aborted or its deadline has passed. */
-    check(): void {
+    /** Throws the abort reason if the operation was aborted or its deadline has passed. */
+    throwIfAborted(): void {
         this.signal.throwIfAborted();
     }
 
-    /** Creates a progress that ends with this one, or earlier. */
+    /** Creates a child operation that ends with this one or after the given timeout, whichever is earlier. */
     child(timeoutMs: number): Progress {
         return new Progress(Math.min(this.leftMs, timeoutMs), this.signal);
     }
 
-    /** Waits for a promise, but no longer than this progress allows. */
+    /** Waits for a promise; rejects with the abort reason if the operation is aborted or its deadline passes first. */
     async race<T>(promise: Promise<T>): Promise<T> {
-        // If the work has ended already, nobody waits for the promise any more: its own failure must not end the process.
+        // If the operation has already ended, nothing awaits the promise; without a handler its rejection would end the process.
         promise.catch(() => {});
-        this.check();
+        this.throwIfAborted();
         let onAbort: (() => void) | undefined;
         const aborted = new Promise<never>((_, reject) => {
             onAbort = () => reject(this.signal.reason);
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Waits for a time in milliseconds. */
+    /** Waits for the given time; rejects if the operation ends first. */
     async sleep(ms: number): Promise<void> {
         let timer: NodeJS.Timeout | undefined;
         try {
@@ -107,5 +108,5 @@
 
 const deadlineError = (): ProblemError => new ProblemError("deadline_exceeded", "notRun", "The deadline passed.");
 
-/** Waits for a time in milliseconds, outside of any request. */
+/** Waits for the given time outside of any operation, without keeping the process alive. */
 export const delay = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms).unref());
--- a/packages/common/src/verdict.ts
+++ b/packages/common/src/verdict.ts
@@ -1,18 +1,18 @@
-/** Errors that say whether the request they answer may have run. */
+/** Errors that state whether the failed request may have been executed, and so whether it can be retried. */
 import VError from "verror";
 import { z } from "zod";
 
 /**
  * What is known about the execution of a request that failed.
  *
- * - `notRun`: nothing of it was executed; sending it again is safe.
- * - `mayHaveRun`: it may have been executed; only an idempotent request may be sent again.
+ * - `notRun`: it was not executed; a retry is safe.
+ * - `mayHaveRun`: it may have been executed; only an idempotent request may be retried.
  * - `ran`: it was executed, and its outcome is known.
  */
 export const verdictSchema = z.enum(["notRun", "mayHaveRun", "ran"]);
 export type Verdict = z.infer<typeof verdictSchema>;
 
-/** An RFC 9457 problem document with the verdict of the request it answers. */
+/** An RFC 9457 problem document, extended by the verdict on the failed request. */
 export const problemSchema = z.object({
     type: z.string(),
     title: z.string(),
@@ -25,8 +25,8 @@
 });
 export type Problem = z.infer<typeof problemSchema>;
 
-/** HTTP status and advice for each error code. */
-const problemKinds = {
+/** HTTP status and suggested remedy of each error code. */
+const problemTypes = {
     malformed_json: [400, "Send a JSON object that matches the interface description."],
     invalid_request: [400, "Correct the field that the detail names."],
     unauthorized: [401, "Send the workspace's key as a bearer token."],
@@ -62,7 +62,7 @@
     deadline_exceeded: [504, "Allow more time, or send it again when the load is lower."],
 } as const satisfies Record<string, readonly [number, string]>;
 
-export type ProblemCode = keyof typeof problemKinds;
+export type ProblemCode = keyof typeof problemTypes;
 
 /** Options of a {@link ProblemError}. */
 export interface ProblemOptions {
@@ -88,12 +88,12 @@
         this.retryAfterSeconds = options.retryAfterSeconds;
     }
 
-    /** HTTP status that belongs to the code. */
+    /** HTTP status of the error code. */
     get status(): number {
-        return problemKinds[this.code][0];
+        return problemTypes[this.code][0];
     }
 
-    /** Renders the error for a caller. */
+    /** Converts the error to a problem document. */
     toProblem(): Problem {
         return {
             type: `urn:marigolddrift:problem:${this.code}`,
@@ -102,20 +102,20 @@
             code: this.code,
             verdict: this.verdict,
             detail: this.message,
-            cure: problemKinds[this.code][1],
+            cure: problemTypes[this.code][1],
             ...(this.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: this.retryAfterSeconds }),
         };
     }
 
-    /** Rebuilds the error from a document that a peer sent. */
+    /** Restores the error from a problem document; an unknown code becomes `internal`. */
     static fromProblem(problem: Problem): ProblemError {
-        const code = problem.code in problemKinds ? problem.code as ProblemCode : "internal";
+        const code = problem.code in problemTypes ? problem.code as ProblemCode : "internal";
         const options = problem.retryAfterSeconds === undefined ? {} : { retryAfterSeconds: problem.retryAfterSeconds };
         return new ProblemError(code, problem.verdict, problem.detail, options);
     }
 }
 
-/** Turns anything thrown into a {@link ProblemError}; an unknown error gets the given verdict. */
+/** Converts a thrown value to a {@link ProblemError}; other errors become `internal` with the given verdict. */
 export const toProblemError = (err: unknown, verdict: Verdict): ProblemError => {
     if (err instanceof ProblemError) {
         return err;
@@ -124,5 +124,5 @@
     return new ProblemError("internal", verdict, cause.message, { cause });
 };
 
-/** Wraps a thrown value that is not an Error. */
+/** Returns a thrown value as an Error, wrapping it if it is not one. */
 export const asError = (err: unknown): Error => err instanceof Error ? err : new Error(String(err));
--- a/packages/daemon/src/controllers/bundles.ts
+++ b/packages/daemon/src/controllers/bundles.ts
@@ -1,14 +1,14 @@
 /** The bundle in force on this instance: from the store, from peers, or from the data folder; never an older one. */
 import {
     asError,
-    carriedBundleSchema,
+    bundleReleaseSchema,
     delay,
-    nextBundle,
+    evaluateBundle,
     parseBundle,
     Progress,
     verifyBundle,
 } from "@marigolddrift/common";
-import type { Bundle, BundleDocument, CarriedBundle, Logger, OperatorKeys, Rollout } from "@marigolddrift/common";
+import type { Bundle, BundleDocument, BundleRelease, Logger, OperatorKeys, Rollout } from "@marigolddrift/common";
 import { BundleChain, bundlePrefix } from "@marigolddrift/store";
 import type { Store } from "@marigolddrift/store";
 import { mkdirSync, readFileSync, renameSync, writeFileSync } from "node:fs";
@@ -33,7 +33,7 @@
 
 /** Takes versions, in one direction only. */
 export class Bundles {
-    private carried: CarriedBundle | undefined;
+    private carried: BundleRelease | undefined;
     private bundle: Bundle | undefined;
     private readonly chain: BundleChain;
     private readonly stopping = new AbortController();
@@ -58,7 +58,7 @@
     }
 
     /** What a peer gets that asks for the bundle. */
-    get forPeers(): CarriedBundle | undefined {
+    get forPeers(): BundleRelease | undefined {
         return this.carried;
     }
 
@@ -81,7 +81,7 @@
         this.asking.add(peer.address);
         const progress = new Progress(readTimeoutMs);
         try {
-            const carried = carriedBundleSchema.safeParse(await peer.link.ask({ kind: "bundle" }, progress));
+            const carried = bundleReleaseSchema.safeParse(await peer.link.ask({ kind: "bundle" }, progress));
             if (carried.success) {
                 this.take(carried.data, `peer ${peer.address}`);
             }
@@ -96,9 +96,9 @@
     }
 
     /** Puts a version in force if it is newer and properly signed. */
-    take(carried: CarriedBundle, source: string, keys = this.trustedKeys()): boolean {
+    take(carried: BundleRelease, source: string, keys = this.trustedKeys()): boolean {
         const { document } = carried;
-        const decision = nextBundle(this.version, carried, this.options.region, keys);
+        const decision = evaluateBundle(this.version, carried, this.options.region, keys);
         if (decision.kind === "keep") {
             this.log.debug("bundle not taken", { version: document.version, source, reason: decision.reason });
             return false;
@@ -206,7 +206,7 @@
             return;
         }
         try {
-            const carried = carriedBundleSchema.parse(JSON.parse(readFileSync(this.file, "utf8")));
+            const carried = bundleReleaseSchema.parse(JSON.parse(readFileSync(this.file, "utf8")));
             this.take(carried, "data folder");
         }
         catch (err) {
@@ -214,7 +214,7 @@
         }
     }
 
-    private writeFolder(carried: CarriedBundle): void {
+    private writeFolder(carried: BundleRelease): void {
         if (this.file === undefined) {
             return;
         }
--- a/packages/daemon/src/controllers/engineMemory.ts
+++ b/packages/daemon/src/controllers/engineMemory.ts
@@ -59,7 +59,7 @@
 
     /** Releases everything that a program may hold. */
     onEnded(program: string): void {
-        for (const worker of this.view.forget(program)) {
+        for (const worker of this.view.removeProgram(program)) {
             void this.release(worker, program);
         }
     }
--- a/packages/daemon/src/controllers/groupCommit.ts
+++ b/packages/daemon/src/controllers/groupCommit.ts
@@ -5,9 +5,9 @@
     beginWrite,
     compact,
     onApplied,
+    onConflict,
     onNoReply,
     onReadBack,
-    onRefused,
     packRecord,
     RecordError,
     unpackRecord,
@@ -209,7 +209,7 @@
 
     private async settleRefused(slot: OwnedSlot): Promise<void> {
         const current = await this.readUntilAnswered(slot);
-        slot.writer = onRefused(slot.writer, current);
+        slot.writer = onConflict(slot.writer, current);
         this.afterReading(slot);
     }
 
--- a/packages/daemon/src/controllers/programs.ts
+++ b/packages/daemon/src/controllers/programs.ts
@@ -1,7 +1,7 @@
 /** The programs of the slots that this instance owns. */
 import { decodeProgramId, encodeProgramId, newNonce, ProblemError } from "@marigolddrift/common";
 import type { Bundle, Logger, ProgramClaims } from "@marigolddrift/common";
-import { handedOverOf } from "@marigolddrift/ledger";
+import { handoverStateOf } from "@marigolddrift/ledger";
 import type { ProgramEntry, SlotRecord } from "@marigolddrift/ledger";
 
 import type { OpenRequest } from "../calls.js";
@@ -114,7 +114,7 @@
             throw new ProblemError("invalid_request", "notRun", `Agent "${claims.agent}" was removed from the bundle.`);
         }
         const entry = slot.record.programs[ledgerName(claims)];
-        const handed = handedOverOf(slot.record, ledgerName(claims));
+        const handed = handoverStateOf(slot.record, ledgerName(claims));
         const program = new ProgramState(id, claims, agent, entry, false, handed);
         this.programs.set(id, program);
         this.log.info("program inherited", { program: claims.nonce, slot: slot.slot, epoch: slot.epoch });
--- a/packages/daemon/src/controllers/slotClaims.ts
+++ b/packages/daemon/src/controllers/slotClaims.ts
@@ -3,13 +3,13 @@
 import type { Logger } from "@marigolddrift/common";
 import {
     beginWrite,
+    claimSlot,
     onApplied,
+    onConflict,
     onNoReply,
     onReadBack,
-    onRefused,
     openWriter,
     packRecord,
-    takeOver,
 } from "@marigolddrift/ledger";
 import type { StoredRecord, WriterState } from "@marigolddrift/ledger";
 import { StoreError } from "@marigolddrift/store";
@@ -86,8 +86,8 @@
         const { instance } = this.parts;
         const former = stored?.record.owner ?? "";
         const isForeign = former !== "" && former !== instance;
-        const base = stored ?? { record: takeOver(undefined, slot, ""), revision: 0 };
-        const next = takeOver(stored?.record, slot, instance);
+        const base = stored ?? { record: claimSlot(undefined, slot, ""), revision: 0 };
+        const next = claimSlot(stored?.record, slot, instance);
         const fence: Compare[] = isForeign ? [{ key: instanceKey(former), revision: 0 }] : [];
         let writer = beginWrite(openWriter(base), next, createNonce());
         while (writer.kind === "writing") {
@@ -113,7 +113,7 @@
             if (result.succeeded) {
                 return onApplied(writer, result.revision);
             }
-            const settled = onRefused(writer, await commit.read(slot, progress));
+            const settled = onConflict(writer, await commit.read(slot, progress));
             // The record is unchanged, so the former owner's lease must still hold.
             return settled.kind === "writing" ? { kind: "lost" } : settled;
         }
--- a/packages/daemon/src/controllers/slotHandOvers.ts
+++ b/packages/daemon/src/controllers/slotHandOvers.ts
@@ -1,7 +1,7 @@
 /** Prepares slots for the next owner: waits for calls in progress, and writes down what only this owner knows. */
 import { asError } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
-import { handOver } from "@marigolddrift/ledger";
+import { releaseSlot } from "@marigolddrift/ledger";
 import type { SlotRecord } from "@marigolddrift/ledger";
 
 import type { Mutation, OwnedSlot } from "./ownedSlot.js";
@@ -34,7 +34,7 @@
         }
         try {
             // Once the write is under way the slot stays closed: the record may name no owner at any moment.
-            await this.write(slot, record => handOver(this.settle(record)));
+            await this.write(slot, record => releaseSlot(this.settle(record)));
         }
         catch (err) {
             this.log.warn("slot lost during its hand-over", { slot: slot.slot, error: asError(err).message });
--- a/packages/daemon/src/controllers/slots.ts
+++ b/packages/daemon/src/controllers/slots.ts
@@ -1,7 +1,7 @@
 /** Owns slots: claims, verifies, loses and hands them over. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Logger, Metrics, Progress } from "@marigolddrift/common";
-import { takeOver } from "@marigolddrift/ledger";
+import { claimSlot } from "@marigolddrift/ledger";
 import type { SlotRecord } from "@marigolddrift/ledger";
 
 import type { Store } from "@marigolddrift/store";
@@ -282,7 +282,7 @@
             const announced = this.directory.ownerOf(slot);
             const free = announced === undefined || !this.membership.isAlive(announced);
             if (free && this.preferred.ownerOf(slot)?.instance === this.self.instance) {
-                const record = { ...takeOver(undefined, slot, this.self.instance), epoch: 0 };
+                const record = { ...claimSlot(undefined, slot, this.self.instance), epoch: 0 };
                 const owned = new OwnedSlot(slot, { record, revision: 0 }, true);
                 this.own(owned);
                 return owned;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -3,7 +3,7 @@
 import type { Bundle, Logger, Metrics } from "@marigolddrift/common";
 import { Dispatcher } from "@marigolddrift/dispatch";
 import type { DispatcherOptions } from "@marigolddrift/dispatch";
-import { createPlacement, firstCome, nextCall, RetryBudget } from "@marigolddrift/policy";
+import { createPlacement, firstComeFirstServed, nextCall, RetryBudget } from "@marigolddrift/policy";
 import { HttpInstanceList, StoreClient } from "@marigolddrift/store";
 import type { InstanceList, Store } from "@marigolddrift/store";
 import { Agent } from "undici";
@@ -199,7 +199,12 @@
     private dispatcherOptions(random: () => number): DispatcherOptions {
         const { placement } = this.cfg.policy;
         const isOwn = placement === "expectedFinish";
-        return { place: createPlacement(placement), order: isOwn ? nextCall : firstCome, admission: isOwn, random };
+        return {
+            place: createPlacement(placement),
+            order: isOwn ? nextCall : firstComeFirstServed,
+            admission: isOwn,
+            random,
+        };
     }
 
     /** Takes the keys of settings that were read again, so that keys rotate without a restart. */
@@ -276,7 +281,7 @@
         this.link.setRate(bundle.limits.regionLinkBytesPerSecond);
         this.retries.setShare(bundle.limits.retryShare);
         this.upstreams.onBundle(bundle);
-        this.dispatcher.pumpAll();
+        this.dispatcher.dispatchAllQueued();
     }
 
     private onProgramEnded(program: string, pauseKind: string): void {
--- a/packages/daemon/src/filters/budgetHold.ts
+++ b/packages/daemon/src/filters/budgetHold.ts
@@ -1,6 +1,6 @@
 /** Holds the worst case of each attempt against the budget of its program. */
 import { ProblemError } from "@marigolddrift/common";
-import { hold, onReserved, reserve, settle } from "@marigolddrift/ledger";
+import { hold, onReserved, raiseReservation, settle } from "@marigolddrift/ledger";
 
 import { ledgerName } from "../controllers/programs.js";
 import { Slots } from "../controllers/slots.js";
@@ -33,7 +33,10 @@
         }
         const { reserved } = decision;
         await race(
-            slots.mutate(slotHold.slot, record => reserve(record, ledgerName(program.claims), reserved, deadline)),
+            slots.mutate(
+                slotHold.slot,
+                record => raiseReservation(record, ledgerName(program.claims), reserved, deadline),
+            ),
         );
         program.account = onReserved(program.account, reserved);
         decision = hold(program.account, worstCase, firstChunk);
--- a/packages/daemon/src/filters/chatDispatchFilter.ts
+++ b/packages/daemon/src/filters/chatDispatchFilter.ts
@@ -93,8 +93,8 @@
             worker: err.upstream,
             error: err.message,
         });
-        ctx.progress.check();
-        if (attempt >= maxFruitlessAttempts || (err.verdict !== "notRun" && !retries.tryTake())) {
+        ctx.progress.throwIfAborted();
+        if (attempt >= maxFruitlessAttempts || (err.verdict !== "notRun" && !retries.tryAcquire())) {
             throw new ProblemError("upstream_failed", "mayHaveRun", `No engine completed the answer: ${err.message}`, {
                 cause: err,
             });
@@ -152,7 +152,7 @@
             workspace: req.workspace,
             attainedMs: program.attainedMs,
             priority: program.agent.priority,
-            since: performance.now(),
+            enqueuedAt: performance.now(),
             deadline: performance.now() + Math.min(program.claims.deadline - Date.now(), progress.leftMs),
             expectedMs: expectedTokens * 20,
             workspaceLoad: 1 / this.parts.workspaceWeight(req.workspace),
@@ -220,7 +220,7 @@
         upstream?.onSuccess();
         const ms = Date.now() - startedAt;
         program.attainedMs += ms;
-        this.parts.dispatcher.onServed(program.agent.model, ms);
+        this.parts.dispatcher.recordServiceTime(program.agent.model, ms);
         const expected = score.expectedMs || 1;
         upstream?.onObserved(ms / expected);
         return {
--- a/packages/daemon/src/filters/intentFilter.ts
+++ b/packages/daemon/src/filters/intentFilter.ts
@@ -1,7 +1,7 @@
 /** Makes a call that must not be repeated run at most once: its intent is stored before it is sent. */
 import { digest, ProblemError } from "@marigolddrift/common";
 import type { Filter, Logger } from "@marigolddrift/common";
-import { conclude, intend, lookupIntent, withdraw } from "@marigolddrift/ledger";
+import { addIntent, lookupIntent, recordOutcome, removeIntent } from "@marigolddrift/ledger";
 import type { Outcome } from "@marigolddrift/ledger";
 
 import type { ServiceRequest } from "../calls.js";
@@ -113,7 +113,7 @@
 
     private begin(ctx: ServiceContext, key: string, request: string): PendingIntent {
         const { slot } = ctx.hold;
-        const stored = this.slots.mutate(slot, record => intend(record, key, request, Date.now()));
+        const stored = this.slots.mutate(slot, record => addIntent(record, key, request, Date.now()));
         const intent: PendingIntent = { slot, stored, waiters: 0 };
         this.pending.set(key, intent);
         void stored.then(() => this.onStored(ctx, key, intent), () => this.pending.delete(key));
@@ -145,13 +145,13 @@
     }
 
     private record(ctx: ServiceContext, key: string, outcome: Outcome): void {
-        this.slots.mutate(ctx.hold.slot, record => conclude(record, key, outcome)).catch(() => {
+        this.slots.mutate(ctx.hold.slot, record => recordOutcome(record, key, outcome)).catch(() => {
             this.log.warn("outcome not stored; a repeat is answered with mayHaveRun", { key });
         });
     }
 
     private withdraw(ctx: ServiceContext, key: string): void {
-        this.slots.mutate(ctx.hold.slot, record => withdraw(record, key)).catch(() => {
+        this.slots.mutate(ctx.hold.slot, record => removeIntent(record, key)).catch(() => {
             this.log.warn("intent not withdrawn; a repeat is answered with mayHaveRun", { key });
         });
     }
--- a/packages/daemon/src/filters/serviceDispatchFilter.ts
+++ b/packages/daemon/src/filters/serviceDispatchFilter.ts
@@ -98,12 +98,12 @@
     private onFailure(ctx: ServiceContext, service: Service, err: UpstreamError, attempt: number): void {
         this.parts.log.warn("service failed", { service: ctx.req.service, upstream: err.upstream, error: err.message });
         const neverSent = err.verdict === "notRun";
-        const mayRepeat = neverSent || (service.idempotent && this.parts.retries.tryTake());
+        const mayRepeat = neverSent || (service.idempotent && this.parts.retries.tryAcquire());
         if (neverSent) {
             ctx.lifecycle.send("retract");
         }
         if (ctx.progress.signal.aborted && neverSent) {
-            ctx.progress.check();
+            ctx.progress.throwIfAborted();
         }
         if (!mayRepeat || attempt >= maxAttempts || ctx.progress.signal.aborted) {
             ctx.lifecycle.send("fail");
--- a/packages/daemon/src/programs/programHistory.ts
+++ b/packages/daemon/src/programs/programHistory.ts
@@ -1,5 +1,5 @@
 /** The history of one program: never lost, and never mixed with another's. */
-import { emptyHistory, extendHistory, historyChain, ProblemError } from "@marigolddrift/common";
+import { emptyHistoryDigest, extendHistoryDigest, historyDigests, ProblemError } from "@marigolddrift/common";
 import type { Message } from "@marigolddrift/common";
 
 /** What the owner knows of a program's history. */
@@ -13,7 +13,7 @@
 
     /** @param inherited Whether a former owner may have added messages that are not known here. */
     constructor(private readonly programId: string, inherited: boolean) {
-        this.newest = emptyHistory(programId);
+        this.newest = emptyHistoryDigest(programId);
         this.known = !inherited;
     }
 
@@ -70,15 +70,15 @@
     /** Adds messages after a call has succeeded. */
     commit(all: readonly Message[], fresh: readonly Message[], answer: Message): void {
         if (!this.known) {
-            this.newest = extendHistory(emptyHistory(this.programId), all);
+            this.newest = extendHistoryDigest(emptyHistoryDigest(this.programId), all);
             this.bytes = sizeOf(all);
         }
         else {
-            this.newest = extendHistory(this.newest, fresh);
+            this.newest = extendHistoryDigest(this.newest, fresh);
             this.bytes += sizeOf(fresh);
         }
         this.known = true;
-        this.newest = extendHistory(this.newest, [answer]);
+        this.newest = extendHistoryDigest(this.newest, [answer]);
         this.bytes += sizeOf([answer]);
         this.messages = [...all, answer];
         this.length = this.messages.length;
@@ -100,7 +100,7 @@
                 `The history has ${this.length} messages; add to them.`,
             );
         }
-        const digest = historyChain(this.programId, messages.slice(0, this.length)).at(-1);
+        const digest = historyDigests(this.programId, messages.slice(0, this.length)).at(-1);
         if (digest !== this.newest) {
             throw new ProblemError("history_mismatch", "notRun", "The messages do not extend this program's history.");
         }
--- a/packages/daemon/src/programs/programState.ts
+++ b/packages/daemon/src/programs/programState.ts
@@ -1,9 +1,9 @@
 /** Everything the owner keeps of one live program. */
 import type { Agent, ProgramClaims } from "@marigolddrift/common";
-import { inheritAccount, openAccount } from "@marigolddrift/ledger";
-import type { BudgetAccount, HandedOver, ProgramEntry } from "@marigolddrift/ledger";
-import { noLoop } from "@marigolddrift/policy";
-import type { LoopState, Score } from "@marigolddrift/policy";
+import { openAccount, recoverAccount } from "@marigolddrift/ledger";
+import type { BudgetAccount, HandoverState, ProgramEntry } from "@marigolddrift/ledger";
+import { initialLoopState } from "@marigolddrift/policy";
+import type { LoopState, WorkerScore } from "@marigolddrift/policy";
 
 import type { AnswerLog } from "../answerLog.js";
 import { createProgramLifecycle } from "../lifecycles/programLifecycle.js";
@@ -25,7 +25,7 @@
     readonly call: number;
     readonly choice: string;
     readonly reason: string;
-    readonly scores: readonly Score[];
+    readonly scores: readonly WorkerScore[];
 }
 
 /** Why a program ended. */
@@ -41,7 +41,7 @@
     readonly history: ProgramHistory;
     readonly decisions: Decision[] = [];
     account: BudgetAccount;
-    loop: LoopState = noLoop;
+    loop: LoopState = initialLoopState;
     turns = 0;
     /** Engine time that calls have used, in milliseconds. */
     attainedMs = 0;
@@ -65,11 +65,11 @@
         readonly agent: Agent,
         entry: ProgramEntry | undefined,
         opened: boolean,
-        handed?: HandedOver,
+        handed?: HandoverState,
     ) {
         this.account = opened ?
             openAccount(claims.budget, claims.firstChunk) :
-            inheritAccount(claims.budget, claims.firstChunk, entry?.reserved);
+            recoverAccount(claims.budget, claims.firstChunk, entry?.reserved);
         this.sequencer = new CallSequencer(opened ? 1 : handed?.nextCall);
         this.history = handed === undefined ?
             new ProgramHistory(id, !opened) :
@@ -92,7 +92,7 @@
     }
 
     /** What the next owner needs to go on, if this one knows it. */
-    handOver(epoch: number): HandedOver | undefined {
+    handOver(epoch: number): HandoverState | undefined {
         const { nextCall } = this.sequencer;
         const historyLength = this.history.knownLength;
         if (nextCall === undefined || historyLength === undefined) {
--- a/packages/daemon/src/workerPool.ts
+++ b/packages/daemon/src/workerPool.ts
@@ -50,7 +50,7 @@
         this.upstreams.get(worker)?.onReleased();
     }
 
-    allows(worker: string, req: DispatchRequest): boolean {
+    tryAdmit(worker: string, req: DispatchRequest): boolean {
         const zone = this.upstreams.get(worker)?.zone ?? "";
         return this.upstreams.regionOf(zone) === this.self.region || this.link.tryTake(req.bytes);
     }
@@ -61,9 +61,9 @@
         return {
             worker: worker.address,
             zone: worker.zone,
-            ownInFlight: worker.inFlight,
+            localInFlight: worker.inFlight,
             reportedInFlight: reported === undefined ? 0 : reported.load.running + reported.load.waiting,
-            ownAtReport: reported?.ownInFlight ?? 0,
+            localInFlightAtReport: reported?.ownInFlight ?? 0,
             reportAgeMs: reported === undefined ? 0 : now - reported.at,
             cachedTokens: this.memory.view.cachedTokens(req.program, worker.address, now),
             exportedTokens: this.memory.view.exportedTokens(req.program, worker.address),
--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -1,78 +1,91 @@
-/** Queues calls per model and gives each to the worker where it is expected to finish first. */
+/** Queues calls per model, and dispatches them in the configured order to the workers that the placement policy chooses. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Logger, Metrics, Progress } from "@marigolddrift/common";
 import { admit, nextCall } from "@marigolddrift/policy";
 import type {
     AdmissionDecision,
     CallShape,
-    PlaceFunction,
     Placement,
-    Score,
+    PlacementFunction,
     WaitingCall,
+    WorkerScore,
     WorkerView,
 } from "@marigolddrift/policy";
 
-/** A call that asks for a worker. */
+/** A call that is to be dispatched to a worker. */
 export interface DispatchRequest extends WaitingCall {
     readonly model: string;
     readonly call: number;
     readonly shape: CallShape;
     readonly firstCall: boolean;
-    /** Workers that failed this call already. */
+    /** Workers on which this call has failed. */
     readonly excluded: ReadonlySet<string>;
-    /** Bytes of the request, which count if it crosses regions. */
+    /** Size of the request, counted against the bandwidth budget of the link if it goes to another region. */
     readonly bytes: number;
 }
 
-/** Leave to use a worker for one call. */
+/** Reservation of a worker for one call. */
 export interface DispatchLease {
     readonly worker: string;
-    readonly score: Score;
+    readonly score: WorkerScore;
+    /** Releases the worker; further calls have no effect. */
     release(): void;
 }
 
-/** What the dispatcher knows of the workers, and what it tells others. */
+/** The workers to which a dispatcher assigns calls. */
 export interface DispatchTarget<R extends DispatchRequest = DispatchRequest> {
-    /** Workers that may get calls for the model now. */
+    /** Workers that are eligible for the call, with their current load. */
     views(req: R): WorkerView[];
-    /** Calls that the model's workers run at a time. */
+    /** Calls that the model's workers run concurrently. */
     capacity(model: string): number;
-    /** Notes that a call goes to a worker, or left it. */
+    /** Called when a call is assigned to a worker. */
     onAssigned(worker: string): void;
+    /** Called when an assigned call releases its worker. */
     onReleased(worker: string): void;
-    /** Whether the call may go there, for example within the budget of the region link. */
-    allows(worker: string, req: R): boolean;
+    /**
+     * Checks whether the call may be sent to the chosen worker, and consumes the budget that this takes, for example the
+     * bandwidth of a link to another region.
+     */
+    tryAdmit(worker: string, req: R): boolean;
 }
 
-/** Chooses the next of the waiting calls. */
+/** Returns the index of the queued call to dispatch next. */
 export type OrderFunction = (calls: readonly WaitingCall[], now: number) => number;
 
-interface Waiting<R extends DispatchRequest> {
+interface QueuedCall<R extends DispatchRequest> {
     readonly req: R;
     resolve(lease: DispatchLease): void;
     reject(err: Error): void;
 }
 
 interface ModelQueue<R extends DispatchRequest> {
-    readonly waiting: Waiting<R>[];
+    readonly waiting: QueuedCall<R>[];
     meanServiceMs: number;
 }
 
-/** Period at which waiting calls are considered again although nothing happened, in milliseconds. */
-const repumpMs = 50;
-const initialServiceMs = 2_000;
-const serviceRate = 0.05;
-const loggedScores = 5;
+/** Delay after which queued calls are retried if no worker could accept the next one. */
+const retryIntervalMs = 50;
+
+/** Assumed mean service time of a model before the first call has completed. */
+const initialMeanServiceMs = 2_000;
+
+/** Weight of a new sample in the moving average of the service time. */
+const serviceTimeSmoothing = 0.05;
+
+/** Number of worker scores in the log record of a placement. */
+const maxLoggedScores = 5;
 
 /** Options of a {@link Dispatcher}. */
 export interface DispatcherOptions {
-    readonly place: PlaceFunction;
+    readonly place: PlacementFunction;
+    /** Defaults to {@link nextCall}. */
     readonly order?: OrderFunction;
+    /** Whether calls are rejected that are not expected to meet their deadline. */
     readonly admission: boolean;
     readonly random: () => number;
 }
 
-/** The queues of one instance. */
+/** The call queues of one instance, one per model. */
 export class Dispatcher<R extends DispatchRequest = DispatchRequest> {
     private readonly queues = new Map<string, ModelQueue<R>>();
     private readonly running = new Map<string, number>();
@@ -85,18 +98,18 @@
         private readonly metrics: Metrics,
     ) {}
 
-    /** Calls that wait for a worker. */
+    /** Queue depth, summed over all models. */
     get waitingCalls(): number {
         return [...this.queues.values()].reduce((sum, queue) => sum + queue.waiting.length, 0);
     }
 
-    /** Calls of a workspace that run now. */
-    runningOf(workspace: string): number {
+    /** Number of calls of a workspace that are assigned to workers. */
+    runningInWorkspace(workspace: string): number {
         return this.running.get(workspace) ?? 0;
     }
 
-    /** Whether a call can be expected to finish in time. */
-    admission(model: string, firstCall: boolean, leftMs: number, expectedMs: number): AdmissionDecision {
+    /** Decides whether a call is admitted, from its deadline and the load of its model. */
+    checkAdmission(model: string, firstCall: boolean, leftMs: number, expectedMs: number): AdmissionDecision {
         if (!this.options.admission) {
             return { kind: "admit" };
         }
@@ -109,15 +122,15 @@
         return admit(load, { firstCall, leftMs, expectedMs });
     }
 
-    /** Waits for a worker. */
+    /** Queues a call and waits until a worker is assigned to it; fails when `progress` ends. */
     async acquire(req: R, progress: Progress): Promise<DispatchLease> {
         const queue = this.queue(req.model);
-        let entry: Waiting<R> | undefined;
+        let entry: QueuedCall<R> | undefined;
         const granted = new Promise<DispatchLease>((resolve, reject) => {
             entry = { req, resolve, reject };
             queue.waiting.push(entry);
         });
-        this.pump(req.model);
+        this.dispatchQueued(req.model);
         try {
             return await progress.race(granted);
         }
@@ -133,27 +146,27 @@
         }
     }
 
-    /** Notes how long a call of a model took on its worker. */
-    onServed(model: string, ms: number): void {
+    /** Adds a sample to the moving average of a model's service time. */
+    recordServiceTime(model: string, ms: number): void {
         const queue = this.queue(model);
-        queue.meanServiceMs += serviceRate * (ms - queue.meanServiceMs);
+        queue.meanServiceMs += serviceTimeSmoothing * (ms - queue.meanServiceMs);
     }
 
-    /** Considers the waiting calls of all models, for example after a worker came back. */
-    pumpAll(): void {
-        [...this.queues.keys()].forEach(model => this.pump(model));
+    /** Dispatches queued calls of all models as far as possible, for example after a worker has become available. */
+    dispatchAllQueued(): void {
+        [...this.queues.keys()].forEach(model => this.dispatchQueued(model));
     }
 
     private queue(model: string): ModelQueue<R> {
         let queue = this.queues.get(model);
         if (queue === undefined) {
-            queue = { waiting: [], meanServiceMs: initialServiceMs };
+            queue = { waiting: [], meanServiceMs: initialMeanServiceMs };
             this.queues.set(model, queue);
         }
         return queue;
     }
 
-    private pump(model: string): void {
+    private dispatchQueued(model: string): void {
         const queue = this.queue(model);
         while (queue.waiting.length > 0) {
             const index = this.chooseNext(queue.waiting);
@@ -161,12 +174,12 @@
             const views = this.target.views(entry.req);
             if (views.length === 0) {
                 queue.waiting.splice(index, 1);
-                entry.reject(noWorker(entry.req));
+                entry.reject(noWorkerError(entry.req));
                 continue;
             }
             const placement = this.options.place(views, entry.req.shape, this.options.random, entry.req.program);
-            if (placement.worker === undefined || !this.target.allows(placement.worker, entry.req)) {
-                this.repumpLater();
+            if (placement.worker === undefined || !this.target.tryAdmit(placement.worker, entry.req)) {
+                this.scheduleRetry();
                 return;
             }
             queue.waiting.splice(index, 1);
@@ -174,12 +187,15 @@
         }
     }
 
-    private chooseNext(waiting: readonly Waiting<R>[]): number {
-        const calls = waiting.map(entry => ({ ...entry.req, workspaceLoad: this.runningOf(entry.req.workspace) }));
+    private chooseNext(waiting: readonly QueuedCall<R>[]): number {
+        const calls = waiting.map(entry => ({
+            ...entry.req,
+            workspaceLoad: this.runningInWorkspace(entry.req.workspace),
+        }));
         return (this.options.order ?? nextCall)(calls, performance.now());
     }
 
-    private grant(entry: Waiting<R>, worker: string, placement: Placement): void {
+    private grant(entry: QueuedCall<R>, worker: string, placement: Placement): void {
         const { req } = entry;
         const score = placement.scores.find(candidate => candidate.worker === worker) ?? placement.scores[0]!;
         this.log.info("placement", {
@@ -187,35 +203,35 @@
             call: req.call,
             choice: worker,
             reason: placement.reason,
-            queuedMs: performance.now() - req.since,
-            scores: placement.scores.slice(0, loggedScores).map((
+            queuedMs: performance.now() - req.enqueuedAt,
+            scores: placement.scores.slice(0, maxLoggedScores).map((
                 { worker: name, expectedMs },
             ) => [name, Math.round(expectedMs)]),
         });
-        this.metrics.timing("dispatch.queued", performance.now() - req.since);
+        this.metrics.timing("dispatch.queued", performance.now() - req.enqueuedAt);
         this.target.onAssigned(worker);
-        this.running.set(req.workspace, this.runningOf(req.workspace) + 1);
+        this.running.set(req.workspace, this.runningInWorkspace(req.workspace) + 1);
         let released = false;
         const release = (): void => {
             if (!released) {
                 released = true;
-                this.running.set(req.workspace, this.runningOf(req.workspace) - 1);
+                this.running.set(req.workspace, this.runningInWorkspace(req.workspace) - 1);
                 this.target.onReleased(worker);
-                this.pump(req.model);
+                this.dispatchQueued(req.model);
             }
         };
         entry.resolve({ worker, score, release });
     }
 
-    private repumpLater(): void {
+    private scheduleRetry(): void {
         this.timer ??= setTimeout(() => {
             this.timer = undefined;
-            this.pumpAll();
-        }, repumpMs);
+            this.dispatchAllQueued();
+        }, retryIntervalMs);
     }
 }
 
-const noWorker = (req: DispatchRequest): ProblemError =>
+const noWorkerError = (req: DispatchRequest): ProblemError =>
     new ProblemError("no_upstream", "notRun", `No worker of model "${req.model}" can be used now.`, {
         retryAfterSeconds: 2,
     });
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,2 +1,2 @@
-/** Waiting calls and the workers that they go to. */
+/** Queues calls and dispatches them to workers. */
 export * from "./dispatcher.js";
--- a/packages/gateway/src/budgets/budgets.ts
+++ b/packages/gateway/src/budgets/budgets.ts
@@ -134,7 +134,7 @@
             return await progress.race(this.store.get(budgetKey(program), progress));
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             this.log.info("budget not readable", { program, error: asError(err).message });
             throw notDurable();
         }
--- a/packages/gateway/src/budgets/regionBudgets.ts
+++ b/packages/gateway/src/budgets/regionBudgets.ts
@@ -123,7 +123,7 @@
             answer = await keeper.ask({ kind: "reserveTokens", reservation, program, total, needed }, asked);
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             const { instance } = keeper.address;
             this.log.info("budget keeper silent", { program, keeper: instance, error: asError(err).message });
             this.settleAt(keeper, reservation, 0);
--- a/packages/gateway/src/filters/forwardFilter.ts
+++ b/packages/gateway/src/filters/forwardFilter.ts
@@ -68,7 +68,7 @@
             return await this.send(ctx, lease);
         }
         finally {
-            dispatcher.onServed(ctx.service.name, performance.now() - startedAt);
+            dispatcher.recordServiceTime(ctx.service.name, performance.now() - startedAt);
             lease.release();
         }
     }
@@ -134,7 +134,7 @@
     }
 
     private checkRefusals(ctx: CallContext, refusals: number, detail: string): void {
-        ctx.progress.check();
+        ctx.progress.throwIfAborted();
         if (refusals >= maxRefusals) {
             throw new ProblemError("no_upstream", "notRun", `No upstream took the call: ${detail}.`, {
                 retryAfterSeconds,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -108,7 +108,7 @@
         );
         const self = { zone: options.zone, region: options.regionOf(options.zone), regionOf: options.regionOf };
         this.upstreams = new Upstreams(
-            id => pool.prefixes.forget(id),
+            id => pool.prefixes.removeWorker(id),
             () => this.table,
             maxConnections => Math.min(maxConnectionsPerUpstream, Math.floor(maxConnections / assumedInstances)),
             log,
@@ -237,7 +237,7 @@
             protocol,
             turns,
             log,
-            onRead: (upstream, ctx) => pool.prefixes.onRead(upstream, ctx.head.prompt?.parts ?? []),
+            onRead: (upstream, ctx) => pool.prefixes.onPrefilled(upstream, ctx.head.prompt?.parts ?? []),
         });
         const maxBytes = (): number => this.table?.config.limits.maxBodyBytes ?? initialBodyBytes;
         return new EntryServer({
@@ -299,7 +299,7 @@
         const entries = values.map(stored => this.decodeUpstream(stored)).filter(entry => entry !== undefined);
         this.upstreams.onSnapshot(entries, this.storeWasAway);
         this.hasUpstreams = true;
-        this.dispatcher.pumpAll();
+        this.dispatcher.dispatchAllQueued();
     }
 
     private onUpstreamChange(change: StoreChange): void {
@@ -310,7 +310,7 @@
         const entry = this.decodeUpstream(change.stored);
         if (entry !== undefined) {
             this.upstreams.onEntry(entry);
-            this.dispatcher.pumpAll();
+            this.dispatcher.dispatchAllQueued();
         }
     }
 
--- a/packages/gateway/src/journal/journalArchive.ts
+++ b/packages/gateway/src/journal/journalArchive.ts
@@ -108,7 +108,7 @@
             return record && unpackTurn(record);
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             this.log.info("front did not find the turn", { turn: id, peer: front?.name, error: asError(err).message });
             return undefined;
         }
@@ -137,7 +137,7 @@
             await this.peers.reload(progress);
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             this.log.info("machines not listed", { turn: id, error: asError(err).message });
             throw unsureError();
         }
@@ -149,7 +149,7 @@
             return await machine.ask({ kind: "findTurn", id }, asked);
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             this.log.info("journal silent", { turn: id, machine: machine.name, error: asError(err).message });
             return undefined;
         }
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -39,7 +39,7 @@
         call: 0,
         attainedMs: 0,
         priority: ctx.route.priority,
-        since: now,
+        enqueuedAt: now,
         deadline: now + ctx.progress.leftMs,
         expectedMs: prompt === undefined ? initialCallMs : expectedTokens * engineCost.decodeBaseMs,
         workspaceLoad: 0,
@@ -94,7 +94,7 @@
         }
     }
 
-    allows(): boolean {
+    tryAdmit(): boolean {
         return true;
     }
 
@@ -104,9 +104,9 @@
         return {
             worker: entry.id,
             zone: entry.zone,
-            ownInFlight: inFlight,
+            localInFlight: inFlight,
             reportedInFlight: others.calls,
-            ownAtReport: 0,
+            localInFlightAtReport: 0,
             reportAgeMs: others.ageMs,
             cachedTokens: this.prefixes.cachedTokens(entry.id, req.parts),
             exportedTokens: 0,
--- a/packages/gateway/src/state/groupWriter.ts
+++ b/packages/gateway/src/state/groupWriter.ts
@@ -95,7 +95,7 @@
             return await this.put(put, patience);
         }
         catch (err) {
-            progress.check();
+            progress.throwIfAborted();
             throw patience.signal.aborted ? notDurable() : err;
         }
         finally {
--- a/packages/gateway/src/state/regionReads.ts
+++ b/packages/gateway/src/state/regionReads.ts
@@ -61,7 +61,7 @@
                 return await this.askAll(leading, prefix, revision, waitMs, progress);
             }
             catch (err) {
-                progress.check();
+                progress.throwIfAborted();
                 const reason = asError(err instanceof AggregateError ? err.errors[0] : err).message;
                 this.log.info("followed without peers", { prefix, revision, reason });
                 this.isLeader = true;
--- a/packages/gateway/src/turns/storeArchive.ts
+++ b/packages/gateway/src/turns/storeArchive.ts
@@ -61,7 +61,7 @@
 
     /** Reads are tried again for as long as the caller has time for an answer afterwards. */
     private async onReadError(id: string, err: Error, progress: Progress): Promise<void> {
-        progress.check();
+        progress.throwIfAborted();
         if (progress.leftMs < 2 * readTimeoutMs) {
             this.log.warn("turn not readable", { turn: id, error: err.message, leftMs: Math.round(progress.leftMs) });
             throw new ProblemError("not_durable", "notRun", "The store did not say whether the turn exists.", {
--- a/packages/gateway/src/upstreams/sharedLoad.ts
+++ b/packages/gateway/src/upstreams/sharedLoad.ts
@@ -1,7 +1,7 @@
 /** Shares with the other instances of the region what each has under way on the upstreams. */
 import { asError, Progress, rendezvous } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
-import { LoadBoard } from "@marigolddrift/policy";
+import { LoadAggregator } from "@marigolddrift/policy";
 import type { WorkerLoad } from "@marigolddrift/policy";
 
 import type { PeerClient } from "../peers/peerClient.js";
@@ -28,7 +28,7 @@
 
 /** Reports the own load, and knows that of the others as of the last report. Nothing is promised by it: it may be missing. */
 export class SharedLoad {
-    private readonly board = new LoadBoard();
+    private readonly board = new LoadAggregator();
     private others: WorkerLoad = {};
     private readAt = -Infinity;
     private lastBusyAt = -Infinity;
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure transitions of what survives an owner; the daemon and the model checker run the same code. */
+/** Durable state of slots as pure transitions; the daemon and the model checker run the same code. */
 export * from "./budgetAccount.js";
 export * from "./fencedWrite.js";
 export * from "./recordCodec.js";
--- a/packages/ledger/src/slotRecord.ts
+++ b/packages/ledger/src/slotRecord.ts
@@ -1,9 +1,9 @@
-/** The durable record of one slot and its pure transitions. */
+/** Durable record of one slot, and its transitions as pure functions. */
 import { ProblemError } from "@marigolddrift/common";
 import { z } from "zod";
 
 const handedOverSchema = z.strictObject({
-    /** Epoch of the owner that handed the program over; only its direct successor may use what follows. */
+    /** Epoch of the owner that stored this state; only the owner with the next epoch may use it. */
     epoch: z.number().int(),
     nextCall: z.number().int().min(1),
     turns: z.number().int().min(0),
@@ -11,10 +11,10 @@
     historyLength: z.number().int().min(0),
     historyTokens: z.number().int().min(0),
 });
-export type HandedOver = z.infer<typeof handedOverSchema>;
+export type HandoverState = z.infer<typeof handedOverSchema>;
 
 const programEntrySchema = z.strictObject({
-    /** Tokens that the store knows to be reserved; after a change of owner they count as spent. */
+    /** Tokens reserved in the store; after a change of owner they count as spent. */
     reserved: z.number().int().min(0),
     deadline: z.number().int(),
     ended: z.boolean(),
@@ -25,15 +25,15 @@
 const outcomeSchema = z.strictObject({
     status: z.number().int(),
     contentType: z.string(),
-    /** Absent if the body was too large to be kept. */
+    /** Absent if the body exceeded `maxOutcomeBytes` or was removed by compaction. */
     body: z.string().optional(),
 });
 export type Outcome = z.infer<typeof outcomeSchema>;
 
 const intentSchema = z.strictObject({
-    /** Digest of the request, which tells a repeat from a different request under the same key. */
+    /** Digest of the request; distinguishes a retry from a different request with the same key. */
     request: z.string(),
-    /** Time of the intent, in epoch milliseconds. */
+    /** Creation time of the intent, in epoch milliseconds. */
     at: z.number().int(),
     outcome: outcomeSchema.optional(),
 });
@@ -41,9 +41,9 @@
 
 export const slotRecordSchema = z.strictObject({
     slot: z.number().int().min(0),
-    /** Raised by each change of owner; the fencing token. */
+    /** Fencing token; incremented by each change of owner. */
     epoch: z.number().int().min(1),
-    /** Instance that owns the slot; empty after a hand-over. */
+    /** Instance that owns the slot; empty after the owner has released it. */
     owner: z.string(),
     /** Identifies the write that stored this record. */
     nonce: z.string(),
@@ -52,54 +52,73 @@
 });
 export type SlotRecord = z.infer<typeof slotRecordSchema>;
 
-/** Largest packed record that is written; the store holds values up to a megabyte. */
+/** Maximum size of a serialized record; the store accepts values up to 1 MB. */
 export const maxRecordBytes = 900_000;
 
-/** Largest body that is kept as the outcome of a call. */
+/** Maximum size of a response body that is stored in the outcome of a call. */
 export const maxOutcomeBytes = 4096;
 
-/** Age at which the body of an outcome is dropped, in milliseconds. */
+/** Age at which compaction removes the body of an outcome. */
 const outcomeBodyRetentionMs = 600_000;
 
-/** Record of a slot that never had an owner; its first owner takes over from epoch 0. */
-const unowned = (slot: number): SlotRecord => ({ slot, epoch: 0, owner: "", nonce: "", programs: {}, intents: {} });
+/** Initial record of a slot, with epoch 0; its first owner gets epoch 1. */
+const unownedRecord = (slot: number): SlotRecord => ({
+    slot,
+    epoch: 0,
+    owner: "",
+    nonce: "",
+    programs: {},
+    intents: {},
+});
 
-/** Makes an instance the owner under the next epoch. */
-export const takeOver = (record: SlotRecord | undefined, slot: number, owner: string): SlotRecord => {
-    const from = record ?? unowned(slot);
+/** Makes an instance the owner and increments the epoch. */
+export const claimSlot = (record: SlotRecord | undefined, slot: number, owner: string): SlotRecord => {
+    const from = record ?? unownedRecord(slot);
     return { ...from, epoch: from.epoch + 1, owner };
 };
 
-/** Gives a slot up, so that the next owner need not wait for a lease to lapse. */
-export const handOver = (record: SlotRecord): SlotRecord => ({ ...record, owner: "" });
+/** Releases the slot, so that the next owner need not wait for the lease to expire. */
+export const releaseSlot = (record: SlotRecord): SlotRecord => ({ ...record, owner: "" });
 
-/** What the former owner handed over of a program, unless another owner came in between. */
-export const handedOverOf = (record: SlotRecord, program: string): HandedOver | undefined => {
-    const handed = record.programs[program]?.handedOver;
-    return handed?.epoch === record.epoch - 1 ? handed : undefined;
+/** Handover state that the previous owner stored for a program; ignored if another owner has claimed the slot since. */
+export const handoverStateOf = (record: SlotRecord, program: string): HandoverState | undefined => {
+    const state = record.programs[program]?.handedOver;
+    return state?.epoch === record.epoch - 1 ? state : undefined;
 };
 
-/** Raises the reserved tokens of a program. */
-export const reserve = (record: SlotRecord, program: string, reserved: number, deadline: number): SlotRecord => {
+/** Raises a program's reserved tokens to at least the given number. */
+export const raiseReservation = (
+    record: SlotRecord,
+    program: string,
+    reserved: number,
+    deadline: number,
+): SlotRecord => {
     const entry = record.programs[program] ?? { reserved: 0, deadline, ended: false };
     const next = { ...entry, reserved: Math.max(entry.reserved, reserved) };
     return { ...record, programs: { ...record.programs, [program]: next } };
 };
 
-/** Marks a program as ended, so that no later owner serves it. */
+/** Marks a program as ended, so that subsequent owners reject its calls. */
 export const endProgram = (record: SlotRecord, program: string, deadline: number): SlotRecord => {
     const entry = record.programs[program] ?? { reserved: 0, deadline, ended: true };
     return { ...record, programs: { ...record.programs, [program]: { ...entry, ended: true } } };
 };
 
-/** What the ledger knows of a call that must not be repeated. */
+/**
+ * Result of looking up a non-idempotent call in the record.
+ *
+ * - `new`: there is no intent for the key.
+ * - `unresolved`: the call may have run; its outcome is not stored.
+ * - `concluded`: the call ran, and its outcome is stored.
+ * - `conflict`: the key was used for a different request.
+ */
 export type IntentLookup =
     | { readonly kind: "new"; }
     | { readonly kind: "unresolved"; readonly intent: Intent; }
     | { readonly kind: "concluded"; readonly intent: Intent; readonly outcome: Outcome; }
     | { readonly kind: "conflict"; };
 
-/** Looks a call up before it is dispatched. */
+/** Looks up a call by its idempotency key before it is dispatched. */
 export const lookupIntent = (record: SlotRecord, key: string, request: string): IntentLookup => {
     const intent = record.intents[key];
     if (intent === undefined) {
@@ -113,31 +132,34 @@
         { kind: "concluded", intent, outcome: intent.outcome };
 };
 
-/** Writes an intent; the call may be dispatched once the record is stored. */
-export const intend = (record: SlotRecord, key: string, request: string, at: number): SlotRecord => {
+/** Adds an intent; the call must not be dispatched before the record is stored. */
+export const addIntent = (record: SlotRecord, key: string, request: string, at: number): SlotRecord => {
     if (record.intents[key] !== undefined) {
         throw new ProblemError("outcome_unknown", "mayHaveRun", `An intent for key ${key} already exists.`);
     }
     return { ...record, intents: { ...record.intents, [key]: { request, at } } };
 };
 
-/** Adds the outcome of a call. */
-export const conclude = (record: SlotRecord, key: string, outcome: Outcome): SlotRecord => {
+/** Adds the outcome of a call to its intent. */
+export const recordOutcome = (record: SlotRecord, key: string, outcome: Outcome): SlotRecord => {
     const intent = record.intents[key];
     if (intent === undefined) {
         return record;
     }
-    const kept = (outcome.body?.length ?? 0) > maxOutcomeBytes ? { ...outcome, body: undefined } : outcome;
-    return { ...record, intents: { ...record.intents, [key]: { ...intent, outcome: withoutUndefined(kept) } } };
+    const storedOutcome = (outcome.body?.length ?? 0) > maxOutcomeBytes ? { ...outcome, body: undefined } : outcome;
+    return {
+        ...record,
+        intents: { ...record.intents, [key]: { ...intent, outcome: withoutUndefined(storedOutcome) } },
+    };
 };
 
-/** Removes the intent of a call that provably did not run. */
-export const withdraw = (record: SlotRecord, key: string): SlotRecord => {
+/** Removes the intent of a call that is known not to have run. */
+export const removeIntent = (record: SlotRecord, key: string): SlotRecord => {
     const { [key]: removed, ...intents } = record.intents;
     return removed === undefined || removed.outcome !== undefined ? record : { ...record, intents };
 };
 
-/** Forgets programs past their deadline, bodies of older outcomes, and intents past the retention. */
+/** Removes programs past their deadline, intents past the retention period, and response bodies older than 10 minutes. */
 export const compact = (record: SlotRecord, now: number, retentionMs: number): SlotRecord => {
     const programs = Object.entries(record.programs).filter(([, entry]) => entry.deadline > now);
     const intents = Object.entries(record.intents)
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -1,18 +1,22 @@
-/** Refuses early what cannot finish in time. */
+/** Admission control: rejects calls early that are not expected to finish by their deadline. */
 
-/** State of one pool as an instance sees it. */
+/** One instance's view of the load of a pool. */
 export interface PoolLoad {
+    /** Queue depth on this instance. */
     readonly waiting: number;
-    /** Calls that the pool's workers run at a time. */
+    /** Calls that the pool's workers run concurrently. */
     readonly capacity: number;
-    /** Mean engine time of a call, in milliseconds. */
+    /** Mean time of a call on its worker. */
     readonly meanServiceMs: number;
 }
 
-/** A call that asks to be admitted. */
+/** The properties of a call that decide on its admission. */
 export interface AdmissionRequest {
+    /** Whether this is the first call of its program. */
     readonly firstCall: boolean;
+    /** Time until the deadline. */
     readonly leftMs: number;
+    /** Expected time of the call on its worker. */
     readonly expectedMs: number;
 }
 
@@ -20,24 +24,27 @@
     | { readonly kind: "admit"; }
     | { readonly kind: "refuse"; readonly reason: string; readonly retryAfterMs: number; };
 
-/** Share of a deadline that the wait of a program's first call may take. */
+/** Maximum queue wait of a program's first call, as a share of the time until its deadline. */
 const firstCallWaitShare = 0.1;
 
-/** Milliseconds that a first call may wait at most. */
+/** Absolute maximum queue wait of a program's first call. */
 const maxFirstCallWaitMs = 30_000;
 
-/** Expected wait in the queue, in milliseconds. */
+/** Expected time in the queue; infinite for a pool without capacity. */
 export const expectedWaitMs = (pool: PoolLoad): number =>
     pool.capacity === 0 ? Infinity : (pool.waiting / pool.capacity) * pool.meanServiceMs;
 
-/** Admits a call if it can finish by its deadline; new programs are refused before running ones. */
+/**
+ * Admits a call if it can finish by its deadline. First calls have a lower wait limit, so that under overload new programs
+ * are rejected before calls of running ones.
+ */
 export const admit = (pool: PoolLoad, req: AdmissionRequest): AdmissionDecision => {
     const waitMs = expectedWaitMs(pool);
     if (waitMs + req.expectedMs > req.leftMs) {
         return { kind: "refuse", reason: "the deadline cannot be met", retryAfterMs: retryAfter(waitMs) };
     }
-    const allowed = Math.min(maxFirstCallWaitMs, req.leftMs * firstCallWaitShare);
-    if (req.firstCall && waitMs > allowed) {
+    const maxWaitMs = Math.min(maxFirstCallWaitMs, req.leftMs * firstCallWaitShare);
+    if (req.firstCall && waitMs > maxWaitMs) {
         return { kind: "refuse", reason: "new programs wait for running ones", retryAfterMs: retryAfter(waitMs) };
     }
     return { kind: "admit" };
--- a/packages/policy/src/baselines.ts
+++ b/packages/policy/src/baselines.ts
@@ -1,21 +1,21 @@
-/** Simple placements to compare with; operators can set one, and the bench measures against them. */
+/** Standard load-balancing algorithms; operators can select one, and the benchmark uses them as baselines. */
 import { place, placeSampled, scoreWorker } from "./placement.js";
 import type { CallShape, Placement, WorkerView } from "./placement.js";
 
-/** Chooses among the workers that may get a call. */
-export type PlaceFunction = (
+/** Chooses one of the eligible workers for a call. */
+export type PlacementFunction = (
     views: readonly WorkerView[],
     call: CallShape,
     random: () => number,
     program: string,
 ) => Placement;
 
-/** Load above the least loaded worker's at which cache affinity gives way. */
+/** Calls in flight above the least loaded worker's count beyond which cache affinity is ignored. */
 const affinityThreshold = 4;
 const hashPrime = 16_777_619;
 const hashOffset = 2_166_136_261;
 
-/** Names of the placements. */
+/** Names of the placement algorithms. */
 export const placementNames = [
     "expectedFinish",
     "expectedFinishSampled",
@@ -32,12 +32,13 @@
     scores: [scoreWorker(view, call)],
 });
 
-const inFlight = (view: WorkerView): number => view.ownInFlight + Math.max(0, view.reportedInFlight - view.ownAtReport);
+const totalInFlight = (view: WorkerView): number =>
+    view.localInFlight + Math.max(0, view.reportedInFlight - view.localInFlightAtReport);
 
-const leastOf = (views: readonly WorkerView[]): WorkerView =>
-    views.reduce((best, view) => inFlight(view) < inFlight(best) ? view : best);
+const leastLoaded = (views: readonly WorkerView[]): WorkerView =>
+    views.reduce((best, view) => totalInFlight(view) < totalInFlight(best) ? view : best);
 
-/** Rank of a worker for a program, by the FNV-1a hash. */
+/** Rendezvous-hashing weight of a worker for a program, by an FNV-1a hash. */
 const rank = (program: string, worker: string): number => {
     let hash = hashOffset;
     for (const char of `${worker}/${program}/${worker}`) {
@@ -46,27 +47,27 @@
     return hash;
 };
 
-const roundRobin = (): PlaceFunction => {
-    let turn = 0;
-    return (views, call) => placementOn(views[turn++ % views.length]!, call);
+const roundRobin = (): PlacementFunction => {
+    let nextIndex = 0;
+    return (views, call) => placementOn(views[nextIndex++ % views.length]!, call);
 };
 
-const leastOutstanding: PlaceFunction = (views, call) => placementOn(leastOf(views), call);
+const leastOutstanding: PlacementFunction = (views, call) => placementOn(leastLoaded(views), call);
 
-const consistentHashing: PlaceFunction = (views, call, _, program) =>
+const consistentHashing: PlacementFunction = (views, call, _, program) =>
     placementOn(
         views.reduce((best, view) => rank(program, view.worker) > rank(program, best.worker) ? view : best),
         call,
     );
 
-const cacheAffinity: PlaceFunction = (views, call) => {
+const cacheAffinity: PlacementFunction = (views, call) => {
     const cached = views.reduce((best, view) => view.cachedTokens > best.cachedTokens ? view : best);
-    const least = leastOf(views);
-    const isTooBusy = inFlight(cached) > inFlight(least) + affinityThreshold;
+    const least = leastLoaded(views);
+    const isTooBusy = totalInFlight(cached) > totalInFlight(least) + affinityThreshold;
     return placementOn(cached.cachedTokens > 0 && !isTooBusy ? cached : least, call);
 };
 
-const placements: Readonly<Record<PlacementName, () => PlaceFunction>> = {
+const placementFactories: Readonly<Record<PlacementName, () => PlacementFunction>> = {
     expectedFinish: () => place,
     expectedFinishSampled: () => placeSampled,
     roundRobin,
@@ -75,5 +76,5 @@
     cacheAffinity: () => cacheAffinity,
 };
 
-/** Creates a placement by its name. */
-export const createPlacement = (name: PlacementName): PlaceFunction => placements[name]();
+/** Creates a placement function by its name. */
+export const createPlacement = (name: PlacementName): PlacementFunction => placementFactories[name]();
--- a/packages/policy/src/costModel.ts
+++ b/packages/policy/src/costModel.ts
@@ -1,20 +1,20 @@
-/** What calls cost on an engine. */
+/** Cost model of the time that calls take on an engine. */
 
-/** Parameters of an engine's speed. */
+/** Parameters of the cost model. */
 export interface CostModel {
-    /** Milliseconds to prefill one token that is not cached. */
+    /** Time to prefill one uncached token. */
     readonly prefillMsPerToken: number;
-    /** Milliseconds of one decoding step with a single sequence. */
+    /** Duration of a decode step with a single sequence. */
     readonly decodeBaseMs: number;
-    /** Milliseconds that each further sequence adds to a step. */
+    /** Time that each additional sequence adds to a decode step. */
     readonly decodePerSequenceMs: number;
-    /** Sequences that an engine decodes at a time. */
+    /** Sequences that an engine decodes concurrently. */
     readonly maxBatch: number;
-    /** Milliseconds to import one exported token. */
+    /** Time to import one token of an exported prefix. */
     readonly importMsPerToken: number;
 }
 
-/** Cost model of a worker before anything was observed of it. */
+/** Cost model of a worker for which there are no observations yet. */
 export const defaultCostModel: CostModel = {
     prefillMsPerToken: 0.04,
     decodeBaseMs: 10,
@@ -23,6 +23,6 @@
     importMsPerToken: 0.004,
 };
 
-/** Milliseconds between two tokens of a sequence when `sequences` run at once. */
+/** Time between two tokens of a sequence when `sequences` are decoded concurrently. */
 export const decodeStepMs = (model: CostModel, sequences: number): number =>
     model.decodeBaseMs + model.decodePerSequenceMs * Math.max(0, sequences - 1);
--- a/packages/policy/src/distance.ts
+++ b/packages/policy/src/distance.ts
@@ -1,7 +1,7 @@
-/** Time that a message takes between places. */
+/** Estimates network round-trip times from availability zones and regions. */
 
-/** Where something is, seen from an instance. */
-export interface Place {
+/** Availability zone and region of an instance or upstream. */
+export interface Location {
     readonly zone: string;
     readonly region: string;
 }
@@ -11,12 +11,12 @@
 const otherRegionRoundTripMs = 45;
 
 /**
- * Expected latency to a place and back, in milliseconds.
+ * Expected network round-trip time between two locations.
  *
  * @example
  * expectedRoundTripMs({ zone: "a", region: "north" }, { zone: "b", region: "north" }); // 4
  */
-export const expectedRoundTripMs = (from: Place, to: Place): number => {
+export const expectedRoundTripMs = (from: Location, to: Location): number => {
     if (from.zone === to.zone) {
         return sameZoneRoundTripMs;
     }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure scheduling decisions: no I/O, no timers, no module state. */
+/** Scheduling policies as pure code: no I/O, no timers, no module state. */
 export * from "./admission.js";
 export * from "./baselines.js";
 export * from "./cacheView.js";
--- a/packages/policy/src/loadBoard.ts
+++ b/packages/policy/src/loadBoard.ts
@@ -1,13 +1,13 @@
 /**
- * Adds up what many instances have under way on each worker. Load pattern: a burst through dozens of instances, each of which
- * has one or two calls on a worker and so cannot see that the worker is full while others are idle.
+ * Aggregates the calls in flight per worker over all instances. Load pattern: during a burst through dozens of instances,
+ * each has only one or two calls on a worker, so its local counters do not show that the worker is full and others are idle.
  */
 
-/** Calls under way by worker. */
+/** Number of calls in flight by worker. */
 export type WorkerLoad = Readonly<Record<string, number>>;
 
-/** Age from which on an instance's report counts for nothing, in milliseconds: it has died, or reports elsewhere. */
-const reportLifeMs = 1_000;
+/** Reports older than this are discarded: the instance has died or reports to another aggregator. */
+const reportTtlMs = 1_000;
 
 interface Report {
     readonly at: number;
@@ -15,25 +15,29 @@
 }
 
 /**
- * The latest report of each instance.
+ * Keeps the latest load report of each instance.
  *
  * @example
- * board.report("front-1", { "worker-7": 2 }, performance.now());
- * board.loadOfOthers("front-2", performance.now())["worker-7"] === 2;
+ * aggregator.report("front-1", { "worker-7": 2 }, performance.now());
+ * aggregator.loadOfOthers("front-2", performance.now())["worker-7"] === 2;
  */
-export class LoadBoard {
+export class LoadAggregator {
     private readonly reports = new Map<string, Report>();
 
-    /** @param now Time of the monotonic clock, in milliseconds. */
+    /**
+     * Replaces the instance's previous report.
+     *
+     * @param now Monotonic time in milliseconds.
+     */
     report(instance: string, load: WorkerLoad, now: number): void {
         this.reports.set(instance, { at: now, load });
     }
 
-    /** Calls of all other instances by worker. */
+    /** Sums the unexpired reports of all other instances by worker, and removes expired ones. */
     loadOfOthers(instance: string, now: number): Record<string, number> {
         const sums: Record<string, number> = {};
         for (const [other, { at, load }] of this.reports) {
-            if (now - at > reportLifeMs) {
+            if (now - at > reportTtlMs) {
                 this.reports.delete(other);
             }
             else if (other !== instance) {
--- a/packages/policy/src/loopDetection.ts
+++ b/packages/policy/src/loopDetection.ts
@@ -1,16 +1,16 @@
-/** Detects programs that repeat themselves. */
+/** Detects programs that repeat the same turn. */
 
-/** The tail of identical turns of one program. */
+/** The latest turn of a program and how often in a row it has occurred. */
 export interface LoopState {
     readonly turn: string;
     readonly repeats: number;
 }
 
-export const noLoop: LoopState = { turn: "", repeats: 0 };
+export const initialLoopState: LoopState = { turn: "", repeats: 0 };
 
-/** Adds a turn, given as a digest of what was asked and answered. */
+/** Adds a turn, identified by a digest of its request and response. */
 export const addTurn = (state: LoopState, turn: string): LoopState =>
     state.turn === turn ? { turn, repeats: state.repeats + 1 } : { turn, repeats: 1 };
 
-/** Whether the program made `limit` identical turns in a row. */
+/** Whether the last `limit` or more turns are identical. */
 export const isLooping = (state: LoopState, limit: number): boolean => state.repeats >= limit;
--- a/packages/policy/src/pauseModel.ts
+++ b/packages/policy/src/pauseModel.ts
@@ -1,4 +1,4 @@
-/** Learns how long programs of an agent pause, and how often another call follows. */
+/** Online estimates of how long programs pause between calls and how likely another call is. */
 
 const learningRate = 0.1;
 const initialPauseMs = 3_000;
@@ -9,18 +9,21 @@
     returnProbability: number;
 }
 
-/** Pause lengths and return probabilities per kind of pause, for example `agent/tool`. */
+/**
+ * Exponential moving averages of pause length and return probability per kind of pause, for example `agent/tool`. Pauses are
+ * averaged in the logarithmic domain.
+ */
 export class PauseModel {
     private readonly estimates = new Map<string, Estimate>();
 
-    /** Notes that a program returned after a pause. */
+    /** Records that a program made another call after a pause. */
     onReturn(kind: string, pauseMs: number): void {
         const estimate = this.estimate(kind);
         estimate.logPauseMs += learningRate * (Math.log(Math.max(1, pauseMs)) - estimate.logPauseMs);
         estimate.returnProbability += learningRate * (1 - estimate.returnProbability);
     }
 
-    /** Notes that a program ended instead of returning. */
+    /** Records that a program ended without another call. */
     onEnd(kind: string): void {
         const estimate = this.estimate(kind);
         estimate.returnProbability -= learningRate * estimate.returnProbability;
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -1,93 +1,96 @@
-/** Chooses the worker on which a call is expected to finish first. */
+/** Chooses the worker that minimizes a call's expected completion time plus the delay it causes to other calls. */
 import { decodeStepMs } from "./costModel.js";
 import type { CostModel } from "./costModel.js";
 
-/** What one instance knows of one worker. */
+/** One instance's view of one worker. */
 export interface WorkerView {
     readonly worker: string;
     readonly zone: string;
-    /** Calls of this instance that are on the worker now. */
-    readonly ownInFlight: number;
-    /** Calls that the worker reported as running or waiting. */
+    /** Calls of this instance in flight on the worker. */
+    readonly localInFlight: number;
+    /** Running and waiting calls in the latest load report, which may include calls of this instance. */
     readonly reportedInFlight: number;
-    /** Calls of this instance that were on the worker when it reported. */
-    readonly ownAtReport: number;
+    /** Calls of this instance that the latest load report includes. */
+    readonly localInFlightAtReport: number;
     readonly reportAgeMs: number;
-    /** Tokens of the program's history that are probably cached on the worker. */
+    /** Estimated tokens of the prompt's beginning that are cached on the worker. */
     readonly cachedTokens: number;
-    /** Tokens of the program's history that were exported from the worker's memory and can be imported. */
+    /** Tokens of the prompt's beginning that were exported from the worker's memory and can be imported again. */
     readonly exportedTokens: number;
-    /** Observed slowness relative to the cost model; 1 is as expected. */
+    /** Observed service time relative to the cost model; 1 if it is as predicted. */
     readonly slowdown: number;
-    /** Latency to the worker and back, in milliseconds. */
     readonly roundTripMs: number;
     readonly maxInFlight: number;
     readonly cost: CostModel;
 }
 
-/** What is known of a call before it runs. */
+/** Size of a call, as known before it runs. */
 export interface CallShape {
     readonly promptTokens: number;
-    /** Tokens that the call is expected to generate. */
+    /** Expected number of generated tokens. */
     readonly expectedTokens: number;
 }
 
-/** Expected finish of a call on one worker. */
-export interface Score {
+/** Expected times of a call on one worker; lower is better. */
+export interface WorkerScore {
     readonly worker: string;
+    /** Expected time to completion: wait, prefill, decode and network round trip. */
     readonly expectedMs: number;
     readonly waitMs: number;
     readonly prefillMs: number;
     readonly decodeMs: number;
-    /** Delay that the call causes to the calls beside it, summed up over them. */
+    /** Total delay that the call adds to the calls running concurrently on the worker. */
     readonly othersMs: number;
-    /** Whether the worker may get another call now. */
+    /** Whether the worker is below its concurrency limit. */
     readonly open: boolean;
 }
 
-/** A placement with its reason, or no worker that may get the call now. */
+/** The chosen worker, or `undefined` if no worker can accept the call now, with the reason and the compared scores. */
 export interface Placement {
     readonly worker: string | undefined;
     readonly reason: "cached" | "leastExpected" | "allBusy" | "noWorker" | "baseline";
-    readonly scores: readonly Score[];
+    readonly scores: readonly WorkerScore[];
 }
 
-/** Age at which a load report says nothing any more, in milliseconds. */
-const reportHorizonMs = 10_000;
+/** Age at which a load report is ignored; its weight decreases linearly until then. */
+const reportMaxAgeMs = 10_000;
 
-/** Number of random candidates of a group of workers. */
-const sampledCandidates = 3;
+/** Number of workers sampled at random from a group. */
+const sampleSize = 3;
 
-/** Part of a prompt from which on its cached beginning counts as the conversation. */
-const conversationShare = 0.5;
+/** Minimum cached share of a prompt for it to count as a cached conversation rather than a prefix that many prompts share. */
+const minConversationShare = 0.5;
 
-/** Load of a worker, as a share of its places, below which conversations move there: the last free ones are taken by many at once. */
-const movingShare = 0.5;
+/**
+ * Maximum load of a worker, as a share of its batch size, for conversations to move to it. The margin is needed because many
+ * instances choose the last free slots of a worker at the same time.
+ */
+const maxMigrationLoad = 0.5;
 
-/** Part of the longest cached prompt from which on a worker counts as holding much of it. */
-const cachedShare = 0.7;
+/** Minimum share of the longest cached prefix for a worker to count as caching the prompt. */
+const minHolderShare = 0.7;
 
-/** Calls that are probably on the worker now: this instance's own, and what others had there. */
+/** Estimated calls in flight: this instance's calls, plus other instances' calls weighted by the age of the report. */
 export const estimatedInFlight = (view: WorkerView): number => {
-    const others = Math.max(0, view.reportedInFlight - view.ownAtReport);
-    const weight = Math.max(0, 1 - view.reportAgeMs / reportHorizonMs);
-    return view.ownInFlight + others * weight;
+    const others = Math.max(0, view.reportedInFlight - view.localInFlightAtReport);
+    const weight = Math.max(0, 1 - view.reportAgeMs / reportMaxAgeMs);
+    return view.localInFlight + others * weight;
 };
 
-/** Scores a call on a worker. */
-export const scoreWorker = (view: WorkerView, call: CallShape): Score => {
+/** Estimates the completion time of a call on a worker, and the delay it causes there. */
+export const scoreWorker = (view: WorkerView, call: CallShape): WorkerScore => {
     const load = estimatedInFlight(view);
     const cost = view.cost;
-    const step = decodeStepMs(cost, Math.min(load + 1, cost.maxBatch)) * view.slowdown;
-    const decodeMs = call.expectedTokens * step;
+    const stepMs = decodeStepMs(cost, Math.min(load + 1, cost.maxBatch)) * view.slowdown;
+    const decodeMs = call.expectedTokens * stepMs;
     const cached = Math.min(view.cachedTokens, call.promptTokens);
     const imported = Math.min(Math.max(0, view.exportedTokens - cached), call.promptTokens - cached);
-    const fresh = call.promptTokens - cached - imported;
-    const prefillMs = (fresh * cost.prefillMsPerToken + imported * cost.importMsPerToken) * view.slowdown;
-    const ahead = Math.max(0, load + 1 - cost.maxBatch);
-    const waitMs = (ahead / cost.maxBatch) * (decodeMs + prefillMs);
-    const beside = Math.min(load, cost.maxBatch - 1);
-    const othersMs = beside * (prefillMs + call.expectedTokens * cost.decodePerSequenceMs * view.slowdown);
+    const uncached = call.promptTokens - cached - imported;
+    const prefillMs = (uncached * cost.prefillMsPerToken + imported * cost.importMsPerToken) * view.slowdown;
+    const queued = Math.max(0, load + 1 - cost.maxBatch);
+    const waitMs = (queued / cost.maxBatch) * (decodeMs + prefillMs);
+    const concurrent = Math.min(load, cost.maxBatch - 1);
+    const othersMs = concurrent * (prefillMs + call.expectedTokens * cost.decodePerSequenceMs * view.slowdown);
     return {
         worker: view.worker,
         othersMs,
@@ -100,36 +103,36 @@
 };
 
 /**
- * Places a call. Cached workers are always weighed; of the others only a random sample, so that many instances with the
- * same stale view do not choose the same worker.
+ * Places a call. All workers with a cached or exported prefix are candidates, but only a random sample of the others, so that
+ * many instances with the same stale view do not all choose the same worker.
  *
- * @param random Yields numbers in [0, 1).
+ * @param random Returns numbers in [0, 1).
  * @example
  * const { worker, reason } = place(views, { promptTokens: 1200, expectedTokens: 150 }, random);
  */
 export const place = (views: readonly WorkerView[], call: CallShape, random: () => number): Placement =>
-    placeAmong(views, weighAllCached(views, random), call);
+    placeOnBest(views, cachedAndSampledOthers(views, random), call);
 
 /**
- * Places a call as {@link place} does, but weighs a random sample also of the workers that hold most of the prompt. Load
- * pattern: bursts of new programs that share one beginning, which most workers have read, through dozens of instances.
+ * Places a call like {@link place}, but also samples the workers that cache most of the prompt. Load pattern: bursts of new
+ * programs through dozens of instances, with a shared prompt prefix that most workers have cached.
  *
- * A conversation moves only to a worker that is half empty, never from one queue to another: to read it once more takes
- * from all the time that is short when all queue.
+ * A conversation moves only to a worker with less than half of its batch in use, never from one queue to another: when all
+ * workers queue, the additional prefill would take engine time from all waiting calls.
  */
 export const placeSampled = (views: readonly WorkerView[], call: CallShape, random: () => number): Placement => {
     const holders = conversationHolders(views, call);
     if (holders.length === 0) {
-        return placeAmong(views, sampleAll(views, random), call);
+        return placeOnBest(views, sampleCachedAndOthers(views, random), call);
     }
-    const free = views.filter(view => !holders.includes(view) && hasFreePlaces(view));
+    const free = views.filter(view => !holders.includes(view) && hasSpareCapacity(view));
     const candidates = [...sample(holders, random), ...sample(free, random)];
     const scores = candidates.map(view => scoreWorker(view, call)).sort(byTotalDelay);
     const { worker } = scores[0]!;
     return { worker, reason: holders.some(view => view.worker === worker) ? "cached" : "leastExpected", scores };
 };
 
-const placeAmong = (
+const placeOnBest = (
     views: readonly WorkerView[],
     candidates: readonly WorkerView[],
     call: CallShape,
@@ -138,7 +141,7 @@
         return { worker: undefined, reason: "noWorker", scores: [] };
     }
     const scores = candidates.map(view => scoreWorker(view, call)).sort(byTotalDelay);
-    const best = scores.find(score => score.open) ?? lastResort(views, candidates, call);
+    const best = scores.find(score => score.open) ?? bestUnsampled(views, candidates, call);
     if (best === undefined) {
         return { worker: undefined, reason: "allBusy", scores };
     }
@@ -146,44 +149,51 @@
     return { worker: best.worker, reason: chosen.cachedTokens > 0 ? "cached" : "leastExpected", scores };
 };
 
-/** A call that finishes early but holds many others up is not well placed. */
-const byTotalDelay = (a: Score, b: Score): number => a.expectedMs + a.othersMs - (b.expectedMs + b.othersMs);
+/** Includes the delay of other calls, so that a call is not placed where it finishes early but slows many others down. */
+const byTotalDelay = (a: WorkerScore, b: WorkerScore): number =>
+    a.expectedMs + a.othersMs - (b.expectedMs + b.othersMs);
 
-const lastResort = (views: readonly WorkerView[], tried: readonly WorkerView[], call: CallShape): Score | undefined => {
+/** Best of the workers that were not sampled, for when all sampled ones are at their concurrency limit. */
+const bestUnsampled = (
+    views: readonly WorkerView[],
+    tried: readonly WorkerView[],
+    call: CallShape,
+): WorkerScore | undefined => {
     const rest = views.filter(view => !tried.includes(view)).map(view => scoreWorker(view, call));
     return rest.filter(score => score.open).sort(byTotalDelay)[0];
 };
 
-const weighAllCached = (views: readonly WorkerView[], random: () => number): WorkerView[] => {
-    const cached = views.filter(view => heldTokens(view) > 0);
-    const others = views.filter(view => heldTokens(view) === 0);
+const cachedAndSampledOthers = (views: readonly WorkerView[], random: () => number): WorkerView[] => {
+    const cached = views.filter(view => reusableTokens(view) > 0);
+    const others = views.filter(view => reusableTokens(view) === 0);
     return [...cached, ...sample(others, random)];
 };
 
-const sampleAll = (views: readonly WorkerView[], random: () => number): WorkerView[] => {
-    const held = views.map(heldTokens);
+const sampleCachedAndOthers = (views: readonly WorkerView[], random: () => number): WorkerView[] => {
+    const held = views.map(reusableTokens);
     const most = Math.max(...held);
-    const isCached = (index: number): boolean => most > 0 && held[index]! >= most * cachedShare;
+    const isCached = (index: number): boolean => most > 0 && held[index]! >= most * minHolderShare;
     const cached = views.filter((_, index) => isCached(index));
     const others = views.filter((_, index) => !isCached(index));
     return [...sample(cached, random), ...sample(others, random)];
 };
 
-/** Workers that hold most of the prompt, and so more than a beginning that many prompts share. */
+/** Workers that cache most of the prompt, hence more than a prefix that many prompts share. */
 const conversationHolders = (views: readonly WorkerView[], call: CallShape): WorkerView[] => {
-    const most = Math.max(0, ...views.map(heldTokens));
-    const isHeld = most > 0 && most >= call.promptTokens * conversationShare;
-    return isHeld ? views.filter(view => heldTokens(view) >= most * cachedShare) : [];
+    const most = Math.max(0, ...views.map(reusableTokens));
+    const isConversationCached = most > 0 && most >= call.promptTokens * minConversationShare;
+    return isConversationCached ? views.filter(view => reusableTokens(view) >= most * minHolderShare) : [];
 };
 
-const hasFreePlaces = (view: WorkerView): boolean => estimatedInFlight(view) < view.cost.maxBatch * movingShare;
+const hasSpareCapacity = (view: WorkerView): boolean => estimatedInFlight(view) < view.cost.maxBatch * maxMigrationLoad;
 
-const heldTokens = ({ cachedTokens, exportedTokens }: WorkerView): number => cachedTokens + exportedTokens;
+/** Prompt tokens that need no prefill because they are cached or can be imported. */
+const reusableTokens = ({ cachedTokens, exportedTokens }: WorkerView): number => cachedTokens + exportedTokens;
 
 const sample = (views: readonly WorkerView[], random: () => number): WorkerView[] => {
     const left = [...views];
     const sampled: WorkerView[] = [];
-    while (sampled.length < sampledCandidates && left.length > 0) {
+    while (sampled.length < sampleSize && left.length > 0) {
         const index = Math.floor(random() * left.length);
         sampled.push(left[index]!);
         left[index] = left.at(-1)!;
--- a/packages/policy/src/prefixView.ts
+++ b/packages/policy/src/prefixView.ts
@@ -1,19 +1,19 @@
-/** What an instance believes of prompt parts in engine memory: for prompts that share their first parts. */
+/** An instance's estimate of the prompt parts cached on each worker, for prompts that share their leading parts. */
 
-interface PartOfPrompt {
+interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** Parts remembered of one worker; the least recently used are forgotten first, as on the worker. */
+/** Maximum number of parts tracked per worker; evicted in least-recently-used order, as on the worker. */
 const maxPartsPerWorker = 4_000;
 
-/** Prompt parts per worker. */
+/** Estimated cached prompt parts by worker. */
 export class PrefixView {
     private readonly workers = new Map<string, Set<string>>();
 
-    /** Notes that a worker has read a prompt. */
-    onRead(worker: string, parts: readonly PartOfPrompt[]): void {
+    /** Records that a worker has processed a prompt and so caches its parts. */
+    onPrefilled(worker: string, parts: readonly PromptPart[]): void {
         const held = this.workers.get(worker) ?? new Set<string>();
         this.workers.set(worker, held);
         for (const { id } of parts) {
@@ -28,16 +28,16 @@
         }
     }
 
-    /** Tokens at the beginning of a prompt that a worker need not read again. */
-    cachedTokens(worker: string, parts: readonly PartOfPrompt[]): number {
+    /** Tokens of a prompt's leading parts that are cached on a worker. */
+    cachedTokens(worker: string, parts: readonly PromptPart[]): number {
         const held = this.workers.get(worker);
         const firstMissing = parts.findIndex(part => held?.has(part.id) !== true);
         const cached = firstMissing < 0 ? parts : parts.slice(0, firstMissing);
         return cached.reduce((sum, part) => sum + part.tokens, 0);
     }
 
-    /** Forgets a worker that is gone. */
-    forget(worker: string): void {
+    /** Removes a worker that is no longer available. */
+    removeWorker(worker: string): void {
         this.workers.delete(worker);
     }
 }
--- a/packages/policy/src/retention.ts
+++ b/packages/policy/src/retention.ts
@@ -1,14 +1,14 @@
-/** Decides at each pause of a program what happens to its prefix in engine memory. */
+/** Retention policy: whether a paused program's cached prefix is kept, exported or evicted from engine memory. */
 import type { CostModel } from "./costModel.js";
 
-/** A program that pauses between two calls. */
+/** A program between two calls, and the worker that caches its prefix. */
 export interface PausedProgram {
+    /** Length of the cached prefix. */
     readonly tokens: number;
-    /** Expected pause in milliseconds. */
     readonly expectedPauseMs: number;
     /** Probability that another call follows. */
     readonly returnProbability: number;
-    /** Share of the worker's memory that is in use, from 0 to 1. */
+    /** Fraction of the worker's memory in use, from 0 to 1. */
     readonly memoryPressure: number;
     readonly canExport: boolean;
     readonly cost: CostModel;
@@ -16,7 +16,7 @@
 
 export type RetentionAction = "keep" | "demote" | "drop";
 
-/** An action with the costs that were compared, in token-milliseconds of engine memory. */
+/** The chosen action and the compared costs, in token-milliseconds of engine memory. */
 export interface RetentionDecision {
     readonly action: RetentionAction;
     readonly reason: string;
@@ -24,28 +24,28 @@
     readonly refillCost: number;
 }
 
-/** Memory pressure below which holding a prefix displaces nothing. */
-const freePressure = 0.3;
+/** Memory pressure below which keeping a prefix does not evict other prefixes. */
+const uncontendedPressure = 0.3;
 
-/** Tokens of other programs that a busy engine serves at once; weighs prefill time against memory. */
+/** Tokens of other programs that a busy engine serves concurrently; converts prefill time to token-milliseconds. */
 const displacedTokens = 8_000;
 
-/** Return probability below which a prefix is given up when memory is scarce. */
-const unlikelyReturn = 0.1;
+/** Return probability below which a prefix is dropped when memory is scarce. */
+const minReturnProbability = 0.1;
 
 /**
- * Compares holding a prefix over the pause with computing it again.
+ * Compares the cost of keeping a prefix in memory during the pause with the cost of importing or recomputing it.
  *
  * @example
  * decideRetention({ tokens: 4000, expectedPauseMs: 90_000, returnProbability: 0.7, ... }).action; // "demote"
  */
 export const decideRetention = (program: PausedProgram): RetentionDecision => {
     const { tokens, expectedPauseMs, returnProbability, memoryPressure, cost } = program;
-    const scarcity = Math.max(0, memoryPressure - freePressure) / (1 - freePressure);
+    const scarcity = Math.max(0, memoryPressure - uncontendedPressure) / (1 - uncontendedPressure);
     const keepCost = tokens * expectedPauseMs * scarcity;
     const refillCost = returnProbability * tokens * cost.prefillMsPerToken * displacedTokens;
     const importCost = returnProbability * tokens * cost.importMsPerToken * displacedTokens;
-    if (returnProbability < unlikelyReturn && scarcity > 0) {
+    if (returnProbability < minReturnProbability && scarcity > 0) {
         return { action: "drop", reason: "another call is unlikely", keepCost, refillCost };
     }
     if (keepCost <= (program.canExport ? importCost : refillCost)) {
--- a/packages/policy/src/retryBudget.ts
+++ b/packages/policy/src/retryBudget.ts
@@ -1,33 +1,33 @@
-/** Bounds extra attempts to a share of ordinary requests, so that retries cannot multiply a failure. */
+/** Limits retries to a fraction of regular requests, so that retries do not amplify an outage. */
 
-/** Attempts that are saved up at most. */
-const maxSaved = 50;
+/** Maximum number of unused retries that accumulate. */
+const maxAvailable = 50;
 
-/** Attempts that are available before any request was made. */
-const initialSaved = 5;
+/** Retries available before the first request. */
+const initialAvailable = 5;
 
-/** A budget of retries. */
+/** A token bucket of retries that regular requests refill. */
 export class RetryBudget {
-    private saved = initialSaved;
+    private available = initialAvailable;
 
     constructor(private share: number) {}
 
-    /** Changes the share of retries per request. */
+    /** Changes the number of retries that each regular request adds. */
     setShare(share: number): void {
         this.share = share;
     }
 
-    /** Notes an ordinary request. */
+    /** Refills the budget for a regular request, that is, not a retry. */
     onRequest(): void {
-        this.saved = Math.min(maxSaved, this.saved + this.share);
+        this.available = Math.min(maxAvailable, this.available + this.share);
     }
 
-    /** Takes one retry from the budget, if one is left. */
-    tryTake(): boolean {
-        if (this.saved < 1) {
+    /** Consumes one retry; returns false if none is available. */
+    tryAcquire(): boolean {
+        if (this.available < 1) {
             return false;
         }
-        this.saved -= 1;
+        this.available -= 1;
         return true;
     }
 }
--- a/packages/store/src/bundleChain.ts
+++ b/packages/store/src/bundleChain.ts
@@ -137,7 +137,7 @@
             if (!(err instanceof StoreError)) {
                 throw err;
             }
-            progress.check();
+            progress.throwIfAborted();
             return "unknown";
         }
     }
--- a/packages/store/src/storeClient.ts
+++ b/packages/store/src/storeClient.ts
@@ -76,7 +76,7 @@
         finally {
             wait.dispose();
         }
-        progress.check();
+        progress.throwIfAborted();
         return { changes: [], revision };
     }
 
@@ -157,7 +157,7 @@
     }
 
     private async call(path: string, body: object, progress: Progress): Promise<unknown> {
-        progress.check();
+        progress.throwIfAborted();
         this.count(path);
         let status: number;
         let reply: unknown;
--- a/spec/bundleModel.ts
+++ b/spec/bundleModel.ts
@@ -1,6 +1,6 @@
 /** The configuration chain: versions that reach two daemons by the store, by each other, late, or after a restart. */
-import { createKeyPair, nextBundle, signBundle } from "@marigolddrift/common";
-import type { BundleDocument, CarriedBundle, Rollout } from "@marigolddrift/common";
+import { createKeyPair, evaluateBundle, signBundle } from "@marigolddrift/common";
+import type { BundleDocument, BundleRelease, Rollout } from "@marigolddrift/common";
 
 import type { Invariant } from "./invariants.js";
 import type { Mutation } from "./mutants.js";
@@ -37,7 +37,7 @@
 const operators = { amira: createKeyPair(), basil: createKeyPair(), mallory: createKeyPair() };
 const trusted = { amira: operators.amira.publicKey, basil: operators.basil.publicKey };
 
-const carry = (version: number, signer: "basil" | "mallory"): CarriedBundle => {
+const carry = (version: number, signer: "basil" | "mallory"): BundleRelease => {
     const base: BundleDocument = {
         version,
         parent: "",
@@ -70,7 +70,7 @@
     const key = `${current}/${offered}`;
     let accepted = verdicts.get(key);
     if (accepted === undefined) {
-        accepted = nextBundle(current, carried.get(offered)!, region, trusted).kind === "take";
+        accepted = evaluateBundle(current, carried.get(offered)!, region, trusted).kind === "take";
         verdicts.set(key, accepted);
     }
     const isOlder = mutation.acceptOlder === true && offered !== forgedVersion;
--- a/spec/callSteps.ts
+++ b/spec/callSteps.ts
@@ -1,5 +1,5 @@
 /** Steps of callers that send the call that must not be repeated. */
-import { conclude, intend, lookupIntent } from "@marigolddrift/ledger";
+import { addIntent, lookupIntent, recordOutcome } from "@marigolddrift/ledger";
 import type { Step } from "./step.js";
 
 import type { Mutation } from "./mutants.js";
@@ -41,7 +41,7 @@
         const told = withSend(world, index, { at: name, phase: "ended", told: "mayHaveRun" });
         return [{ name: `${name} says that the call may have run`, next: told }];
     }
-    const storing = startWrite(world, name, intend(record, callKey, callRequest, 1));
+    const storing = startWrite(world, name, addIntent(record, callKey, callRequest, 1));
     const phase = mutation.dispatchBeforeIntent ? "stored" : "storing";
     return [{ name: `${name} writes the intent`, next: withSend(storing, index, { at: name, phase }) }];
 };
@@ -79,7 +79,7 @@
     }
     if (send.phase === "dispatched" && owner.writer?.kind === "idle") {
         const told = withSend(world, index, { phase: "ended", told: "ran" });
-        const record = conclude(owner.writer.stored.record, callKey, { status: 200, contentType: "" });
+        const record = recordOutcome(owner.writer.stored.record, callKey, { status: 200, contentType: "" });
         return [{ name: `${name} answers and stores the outcome`, next: startWrite(told, name, record) }];
     }
     return [];
--- a/spec/protocolModel.ts
+++ b/spec/protocolModel.ts
@@ -1,5 +1,14 @@
 /** Steps of the slot protocol. Every change of a record, a writer or an account is made by the product's own functions. */
-import { hold, onApplied, onNoReply, onReadBack, onRefused, reserve, settle, takeOver } from "@marigolddrift/ledger";
+import {
+    claimSlot,
+    hold,
+    onApplied,
+    onConflict,
+    onNoReply,
+    onReadBack,
+    raiseReservation,
+    settle,
+} from "@marigolddrift/ledger";
 import type { WriterState } from "@marigolddrift/ledger";
 import type { Step } from "./step.js";
 
@@ -55,7 +64,7 @@
         return world;
     }
     const isClaim = owner.claiming > 0;
-    const settled = applied ? onApplied(owner.writer, world.revision) : onRefused(owner.writer, world.store);
+    const settled = applied ? onApplied(owner.writer, world.revision) : onConflict(owner.writer, world.store);
     const writer: WriterState = isClaim && settled.kind === "writing" ? { kind: "lost" } : settled;
     return afterStored(resend(world, write.from, writer), write.from, mutation);
 };
@@ -91,7 +100,7 @@
     if (owner.writer !== undefined || !owner.proven || former === name || world.left.claims === 0) {
         return [];
     }
-    const next = takeOver(world.store?.record, 0, name);
+    const next = claimSlot(world.store?.record, 0, name);
     const base = world.store ?? { record: { ...next, epoch: 0, owner: "" }, revision: 0 };
     const fence = former === undefined || former === "" ? undefined : former;
     const claimed = startWrite(
@@ -131,7 +140,7 @@
     if (decision.kind === "exhausted" || writer.kind !== "idle" || owner.reserving > 0) {
         return [];
     }
-    const record = reserve(writer.stored.record, programName, decision.reserved, programDeadline);
+    const record = raiseReservation(writer.stored.record, programName, decision.reserved, programDeadline);
     const reserving = startWrite(withOwner(world, name, { reserving: decision.reserved }), name, record);
     if (mutation.spendBeforeEscrow) {
         const spent = withOwner(take(reserving, "spends"), name, {
--- a/spec/worldSteps.ts
+++ b/spec/worldSteps.ts
@@ -1,5 +1,5 @@
 /** Changes of the world that several steps share. */
-import { beginWrite, inheritAccount, onReserved, openWriter } from "@marigolddrift/ledger";
+import { beginWrite, onReserved, openWriter, recoverAccount } from "@marigolddrift/ledger";
 
 import type { BudgetAccount, SlotRecord, StoredRecord, WriterState } from "@marigolddrift/ledger";
 
@@ -84,7 +84,7 @@
 const inherit = (record: SlotRecord, mutation: Mutation): BudgetAccount => {
     const entry = record.programs[programName];
     const reserved = mutation.forgetSpending ? Math.floor((entry?.reserved ?? 0) / 2) : entry?.reserved ?? 0;
-    return inheritAccount(programBudget, budgetChunk, reserved);
+    return recoverAccount(programBudget, budgetChunk, reserved);
 };
 
 /** Continues an owner's work after its writer has become idle. */
--- a/tests/arbitraries.ts
+++ b/tests/arbitraries.ts
@@ -1,6 +1,6 @@
-/** Arbitrary values for property tests. */
+/** fast-check arbitraries shared by property tests. */
 import * as fc from "fast-check";
 
-/** A record that is an ordinary object, as codecs return them. */
+/** Records with the ordinary object prototype, so that they compare equal to decoded values. */
 export const plainRecord = <T>(model: { [K in keyof T]: fc.Arbitrary<T[K]>; }): fc.Arbitrary<T> =>
     fc.record(model, { noNullPrototype: true });
--- a/tests/configuration/bundleChain.test.ts
+++ b/tests/configuration/bundleChain.test.ts
@@ -1,14 +1,14 @@
 import {
     createKeyPair,
-    nextBundle,
+    evaluateBundle,
     parseBundle,
     Progress,
-    refusalOf,
+    rejectionReason,
     SettingsError,
     signBundle,
     silentLogger,
 } from "@marigolddrift/common";
-import type { BundleDocument, CarriedBundle } from "@marigolddrift/common";
+import type { BundleDocument, BundleRelease } from "@marigolddrift/common";
 import { Bundles } from "@marigolddrift/daemon";
 import type { Membership } from "@marigolddrift/daemon";
 import { BundleChain, BundleConflictError } from "@marigolddrift/store";
@@ -28,7 +28,7 @@
 const addresses = { engines: ["tunis-a=127.0.0.1:1"], services: ["tunis-a=127.0.0.1:2"] };
 const textOf = (version: number): string => renderBundle(barbeDouce, addresses, keys, { version });
 
-const carry = (version: number, signer: "amira" | "basil" = "basil", proposer = "amira"): CarriedBundle => {
+const carry = (version: number, signer: "amira" | "basil" = "basil", proposer = "amira"): BundleRelease => {
     const base: BundleDocument = {
         version,
         parent: "",
@@ -103,13 +103,13 @@
 
     it("should accept only versions that another operator signed off, for this region, unchanged", () => {
         const good = carry(2);
-        expect(refusalOf(good.document, good.rollout, region, keys)).toEqual(undefined);
-        expect(refusalOf(good.document, good.rollout, "sfax-south", keys)).not.toEqual(undefined);
+        expect(rejectionReason(good.document, good.rollout, region, keys)).toEqual(undefined);
+        expect(rejectionReason(good.document, good.rollout, "sfax-south", keys)).not.toEqual(undefined);
         const alone = carry(2, "amira");
-        expect(refusalOf(alone.document, alone.rollout, region, keys)).not.toEqual(undefined);
+        expect(rejectionReason(alone.document, alone.rollout, region, keys)).not.toEqual(undefined);
         const changed = { ...good.document, text: textOf(3) };
-        expect(refusalOf(changed, good.rollout, region, keys)).not.toEqual(undefined);
-        expect(refusalOf(good.document, good.rollout, region, { basil: keys.amira })).not.toEqual(undefined);
+        expect(rejectionReason(changed, good.rollout, region, keys)).not.toEqual(undefined);
+        expect(rejectionReason(good.document, good.rollout, region, { basil: keys.amira })).not.toEqual(undefined);
     });
 
     it("should never take an older version, whatever arrives in whatever order", () => {
@@ -119,7 +119,7 @@
                 let current = 0;
                 for (const index of order) {
                     const offered = versions[index]!;
-                    const next = nextBundle(current, offered, region, keys).kind === "take" ?
+                    const next = evaluateBundle(current, offered, region, keys).kind === "take" ?
                         offered.document.version :
                         current;
                     expect(next >= current).toEqual(true);
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -52,7 +52,7 @@
             this.state.since(revision + 1).filter(event => event.kv.key.startsWith(prefix)).map(toChange);
         if (since().length === 0 && waitMs > 0) {
             await this.nextChange(prefix, waitMs);
-            progress.check();
+            progress.throwIfAborted();
         }
         return this.run("read", () => ({ changes: since(), revision: this.state.revision }));
     }
--- a/tests/gateway/decisions.test.ts
+++ b/tests/gateway/decisions.test.ts
@@ -121,7 +121,7 @@
     it("should count the leading parts that a worker has read", () => {
         const view = new PrefixView();
         const parts = [{ id: "shared", tokens: 512 }, { id: "mine", tokens: 100 }, { id: "new", tokens: 50 }];
-        view.onRead("w", parts.slice(0, 2));
+        view.onPrefilled("w", parts.slice(0, 2));
         expect(view.cachedTokens("w", parts)).toEqual(612);
         expect(view.cachedTokens("w", parts.slice(1))).toEqual(100);
         expect(view.cachedTokens("v", parts)).toEqual(0);
--- a/tests/history/programHistory.test.ts
+++ b/tests/history/programHistory.test.ts
@@ -1,4 +1,4 @@
-import { emptyHistory, extendHistory } from "@marigolddrift/common";
+import { emptyHistoryDigest, extendHistoryDigest } from "@marigolddrift/common";
 import type { Message, ProblemError } from "@marigolddrift/common";
 import { ProgramHistory } from "@marigolddrift/daemon";
 import { expect } from "earl";
@@ -43,7 +43,7 @@
     });
 
     it("should refuse the digest of another program", () => {
-        const other = extendHistory(emptyHistory("p2"), [user("a"), answer("b")]);
+        const other = extendHistoryDigest(emptyHistoryDigest("p2"), [user("a"), answer("b")]);
         expect(codeOf(() => oneTurn().resolve([user("c")], other))).toEqual("history_mismatch");
     });
 
--- a/tests/limits/callers.test.ts
+++ b/tests/limits/callers.test.ts
@@ -7,11 +7,14 @@
 import { LocalFleet } from "../../bench/localFleet.js";
 import { barbeDouce } from "../../bench/sampleBundle.js";
 
-const one = { ...barbeDouce, zones: [{ zone: "tunis-a", region: "tunis-north", daemons: 1, engines: 1, services: 1 }] };
+const layout = {
+    ...barbeDouce,
+    zones: [{ zone: "tunis-a", region: "tunis-north", daemons: 1, engines: 1, services: 1 }],
+};
 
-describe("what callers may send", () => {
-    const fleet = new LocalFleet({ layout: one });
-    const client = new Client(one.callerKey);
+describe("caller requests", () => {
+    const fleet = new LocalFleet({ layout });
+    const client = new Client(layout.callerKey);
     let id = "";
 
     before(async () => {
@@ -32,32 +35,32 @@
         const res = await request(`${fleet.url(0)}${path}`, {
             method,
             body: method === "POST" ? body : null,
-            headers: { "authorization": `Bearer ${one.callerKey}`, "program-id": id, ...headers },
+            headers: { "authorization": `Bearer ${layout.callerKey}`, "program-id": id, ...headers },
         });
         return await res.body.json() as Problem;
     };
     const chat = (body: unknown, headers: Record<string, string> = {}): Promise<Problem> =>
         send("/v1/chat/completions", typeof body === "string" ? body : JSON.stringify(body), headers);
 
-    it("should answer malformed JSON with what is wrong", async () => {
+    it("should reject malformed JSON", async () => {
         expect(await chat("{\"messages\": [")).toHaveSubset({ status: 400, code: "malformed_json", verdict: "notRun" });
     });
 
-    it("should name unknown fields and wrong types", async () => {
+    it("should name unknown fields and fields of the wrong type", async () => {
         const unknown = await chat({ messages: [{ role: "user", content: "a" }], max_tokns: 5 });
         expect([unknown.code, unknown.detail.includes("max_tokns")]).toEqual(["invalid_request", true]);
         const wrong = await chat({ messages: "hello" });
         expect([wrong.code, wrong.detail.includes("messages")]).toEqual(["invalid_request", true]);
     });
 
-    it("should refuse call numbers that are none", async () => {
+    it("should reject invalid call numbers", async () => {
         const body = { messages: [{ role: "user", content: "a" }] };
         for (const call of ["0", "-1", "1.5", "x"]) {
             expect(await chat(body, { "program-call": call })).toHaveSubset({ code: "invalid_request" });
         }
     });
 
-    it("should refuse bodies and headers that are too large", async () => {
+    it("should reject bodies and headers that are too large", async () => {
         const large = await chat(JSON.stringify({ messages: [{ role: "user", content: "x".repeat(9 * 1024 * 1024) }] }))
             .catch(() => undefined);
         expect(large?.code ?? "body_too_large").toEqual("body_too_large");
@@ -67,7 +70,7 @@
         });
     });
 
-    it("should refuse unknown paths, programs, agents and services", async () => {
+    it("should reject unknown paths, programs, agents and services", async () => {
         expect(await send("/v1/nothing", "{}")).toHaveSubset({ status: 404, code: "not_found" });
         expect(await send("/v1/programs/p.abc.def", "", {}, "GET")).toHaveSubset({ code: "unknown_program" });
         expect(await send("/v1/programs", "{\"agent\":\"nobody\"}")).toHaveSubset({ code: "invalid_request" });
@@ -78,10 +81,10 @@
         });
     });
 
-    it("should survive callers that send garbage or half a request", async () => {
+    it("should keep serving after a malformed or truncated request", async () => {
         const { port } = new URL(fleet.url(0));
-        const half = "POST /v1/programs HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{";
-        for (const text of ["\u0000\u0001garbage\r\n\r\n", half, "GET /"]) {
+        const truncatedRequest = "POST /v1/programs HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{";
+        for (const text of ["\u0000\u0001garbage\r\n\r\n", truncatedRequest, "GET /"]) {
             await new Promise<void>(resolve => {
                 const socket = connect(Number(port), "127.0.0.1", () => {
                     socket.write(text);
@@ -95,12 +98,12 @@
         expect(answer.status).toEqual(200);
     });
 
-    it("should cancel the engine's work when a caller is gone, and let the call run again", async () => {
-        const fresh = (await client.open(fleet.url(0), { agent: "restock-planner" })).id;
+    it("should cancel the engine's work when the caller disconnects, and let the call run again", async () => {
+        const programId = (await client.open(fleet.url(0), { agent: "restock-planner" })).id;
         const engine = [...fleet.standins.engines.values()][0]!;
         const abort = new AbortController();
         const messages = [{ role: "user" as const, content: "long [[tokens=900]]" }];
-        const gone = client.chat(fleet.url(0), fresh, messages, {
+        const abortedCall = client.chat(fleet.url(0), programId, messages, {
             call: 1,
             stream: true,
             maxTokens: 900,
@@ -108,12 +111,12 @@
         }).catch(() => undefined);
         await new Promise(resolve => setTimeout(resolve, 200));
         abort.abort();
-        await gone;
+        await abortedCall;
         for (let tries = 0; engine.core.counters.cancelled === 0 && tries < 100; tries++) {
             await new Promise(resolve => setTimeout(resolve, 50));
         }
         expect(engine.core.counters.cancelled).toEqual(1);
         const short = [{ role: "user" as const, content: "long [[tokens=4]]" }];
-        expect((await client.chat(fleet.url(0), fresh, short, { call: 1 })).status).toEqual(200);
+        expect((await client.chat(fleet.url(0), programId, short, { call: 1 })).status).toEqual(200);
     });
 });
--- a/tests/limits/progress.test.ts
+++ b/tests/limits/progress.test.ts
@@ -5,46 +5,46 @@
 import type { AddressInfo } from "node:net";
 import { describe, it } from "node:test";
 
-const turnOfTheLoop = (): Promise<void> => new Promise(resolve => setTimeout(resolve, 0));
+const nextEventLoopIteration = (): Promise<void> => new Promise(resolve => setTimeout(resolve, 0));
 
 describe("progress", () => {
-    it("should wait for many answers at once without a warning", async () => {
+    it("should let many children wait at once without a listener leak warning", async () => {
         const warnings: Error[] = [];
-        const note = (warning: Error): void => void warnings.push(warning);
-        process.on("warning", note);
+        const onEvent = (warning: Error): void => void warnings.push(warning);
+        process.on("warning", onEvent);
         const progress = new Progress(1_000);
-        const asked = Array.from({ length: 20 }, () => progress.child(500));
-        await turnOfTheLoop();
-        asked.forEach(child => child.dispose());
+        const children = Array.from({ length: 20 }, () => progress.child(500));
+        await nextEventLoopIteration();
+        children.forEach(child => child.dispose());
         progress.dispose();
-        process.off("warning", note);
+        process.off("warning", onEvent);
         expect(warnings).toEqual([]);
     });
 
-    it("should leave no rejection unhandled when the work has ended before the wait began", async () => {
+    it("should leave no unhandled rejection when the operation has ended before the wait begins", async () => {
         const unhandled: unknown[] = [];
-        const note = (reason: unknown): void => {
+        const onEvent = (reason: unknown): void => {
             unhandled.push(reason);
         };
-        process.on("unhandledRejection", note);
+        process.on("unhandledRejection", onEvent);
         try {
             const progress = new Progress(1_000);
             progress.abort(new Error("the deadline passed"));
             const late = Promise.reject(new Error("the store did not answer"));
             await expect(progress.race(late)).toBeRejectedWith("the deadline passed");
-            await turnOfTheLoop();
+            await nextEventLoopIteration();
         }
         finally {
-            process.off("unhandledRejection", note);
+            process.off("unhandledRejection", onEvent);
         }
         expect(unhandled).toEqual([]);
     });
 
-    it("should read what has arrived during a stall of the process before it gives up", async () => {
+    it("should process input that arrived during a stall of the process before the deadline error", async () => {
         const server = createServer(socket => socket.end("in time"));
         await new Promise<void>(resolve => server.listen(0, "127.0.0.1", () => resolve()));
         const socket = connect((server.address() as AddressInfo).port, "127.0.0.1");
-        // Neither must keep a failed test's process alive.
+        // Prevents the sockets from keeping the process alive if the test fails.
         server.unref();
         socket.unref();
         const progress = new Progress(50);
@@ -52,7 +52,7 @@
         await once(server, "connection");
         const stalledUntil = performance.now() + 150;
         while (performance.now() < stalledUntil) {
-            // The process is busy; the answer waits in its socket.
+            // Blocks the event loop while the response waits in the socket.
         }
         expect(await progress.race(answer)).toEqual("in time");
         server.close();
--- a/tests/ownership/slots.test.ts
+++ b/tests/ownership/slots.test.ts
@@ -1,7 +1,7 @@
 import { createMetrics, Progress, rendezvous, silentLogger } from "@marigolddrift/common";
 import { instanceKey, NotOwnerError, slotKey, Slots } from "@marigolddrift/daemon";
 import type { Member, Membership, OwnedSlot } from "@marigolddrift/daemon";
-import { intend, reserve, unpackRecord } from "@marigolddrift/ledger";
+import { addIntent, raiseReservation, unpackRecord } from "@marigolddrift/ledger";
 import type { SlotRecord } from "@marigolddrift/ledger";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -112,7 +112,9 @@
             expect(next.all().length).toEqual(slotCount);
             const progress = new Progress(1_000);
             await expect(paused.recheck(slot, progress)).toBeRejectedWith(NotOwnerError);
-            await expect(paused.mutate(slot, record => reserve(record, "p", 10, 1e15))).toBeRejectedWith(NotOwnerError);
+            await expect(paused.mutate(slot, record => raiseReservation(record, "p", 10, 1e15))).toBeRejectedWith(
+                NotOwnerError,
+            );
             expect(recordOf(store, slot.slot).programs).toEqual({});
             progress.dispose();
             await Promise.all([paused.stop(), next.stop()]);
@@ -124,7 +126,7 @@
             store.fault = "loseReply";
             store.faultsLeft = 1;
             const slot = anySlot(slots);
-            const stored = slots.mutate(slot, record => intend(record, "k", "r", Date.now()));
+            const stored = slots.mutate(slot, record => addIntent(record, "k", "r", Date.now()));
             await clock.tickAsync(3_000);
             await stored;
             expect(Object.keys(recordOf(store, slot.slot).intents)).toEqual(["k"]);
@@ -138,7 +140,7 @@
             const changes = slots.all().flatMap(slot =>
                 Array.from(
                     { length: 50 },
-                    (_, index) => slots.mutate(slot, record => intend(record, `k${index}`, "r", Date.now())),
+                    (_, index) => slots.mutate(slot, record => addIntent(record, `k${index}`, "r", Date.now())),
                 )
             );
             await clock.tickAsync(100);
@@ -168,7 +170,7 @@
             const slot = anySlot(slots);
             const changes = Array.from(
                 { length: 100 },
-                (_, index) => slots.mutate(slot, record => intend(record, `k${index}`, "r", 1)),
+                (_, index) => slots.mutate(slot, record => addIntent(record, `k${index}`, "r", 1)),
             );
             await clock.tickAsync(60_000);
             store.fault = "none";
