--- a/packages/gateway/src/budgets/budgets.ts
+++ b/packages/gateway/src/budgets/budgets.ts
@@ -4,8 +4,8 @@
 import type { StoredValue, VersionedStore } from "@marigolddrift/store";
 
 import type { Peers } from "../peers/peers.js";
-import { notDurable } from "../state/groupWriter.js";
-import type { GroupWriter } from "../state/groupWriter.js";
+import { notDurableError } from "../state/groupWriter.js";
+import type { BatchWriter } from "../state/groupWriter.js";
 import { BudgetAccount } from "./budgetAccount.js";
 import { freeTokens, packBudget, portionToTake } from "./budgetRecord.js";
 
@@ -38,7 +38,7 @@
 
     constructor(
         private readonly instance: string,
-        private readonly writer: GroupWriter,
+        private readonly writer: BatchWriter,
         private readonly store: Pick<VersionedStore, "get" | "txn">,
         private readonly peers: Pick<Peers, "get" | "refresh">,
         private readonly log: Logger,
@@ -136,7 +136,7 @@
         catch (err) {
             progress.check();
             this.log.info("budget not readable", { program, error: asError(err).message });
-            throw notDurable();
+            throw notDurableError();
         }
     }
 
@@ -167,7 +167,7 @@
     private async change(account: BudgetAccount, by: number, progress: Progress): Promise<boolean> {
         const next = account.changed(by, `${this.instance}/${this.nextNonce++}`);
         const put = { key: budgetKey(account.program), expected: account.revision, value: packBudget(next) };
-        const result = by > 0 ? await this.writer.putSoon(put, progress) : await this.writer.put(put, progress);
+        const result = by > 0 ? await this.writer.putFailFast(put, progress) : await this.writer.put(put, progress);
         if (result.kind === "conflict") {
             account.acceptStored(result.current);
             return false;
--- a/packages/gateway/src/budgets/regionBudgets.ts
+++ b/packages/gateway/src/budgets/regionBudgets.ts
@@ -8,7 +8,7 @@
 import type { PeerClient } from "../peers/peerClient.js";
 import type { PeerAnswers, PeerQuestion, PeerSelf } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
-import { notDurable } from "../state/groupWriter.js";
+import { notDurableError } from "../state/groupWriter.js";
 import type { Budgets, Reservation } from "./budgets.js";
 
 /** Time that the keeper may take, in milliseconds: that of a write to a store that is about to be taken for away. */
@@ -137,7 +137,7 @@
             case "spent":
                 throw new ProblemError("budget_exhausted", "notRun", "The program's token budget is spent.");
             case "storeAway":
-                throw notDurable();
+                throw notDurableError();
             case "elsewhere":
                 return await this.own.reserve(program, total, needed, progress);
         }
--- a/packages/gateway/src/call.ts
+++ b/packages/gateway/src/call.ts
@@ -1,6 +1,6 @@
-/** What a caller says of a call, decoded from its headers. */
+/** Metadata of a call, decoded from the caller's request headers. */
 
-/** A part of a prompt that other calls may share. */
+/** A part of a prompt that may be common to several calls. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
@@ -10,33 +10,32 @@
 export interface PromptShape {
     readonly model: string;
     readonly promptTokens: number;
-    /** Tokens that the call may generate at most. */
     readonly maxOutputTokens: number;
-    /** The prompt's parts in order; empty if the caller does not say. */
+    /** The prompt's parts in order; empty if the caller did not specify them. */
     readonly parts: readonly PromptPart[];
-    /** The caller's estimate of the tokens that will be generated. */
+    /** The caller's estimate of the number of generated tokens. */
     readonly expectedOutputTokens: number | undefined;
 }
 
 /** The program that a call belongs to. */
-export interface ProgramClaim {
+export interface ProgramInfo {
     readonly id: string;
-    /** The line of turns within the program: its main line or a sub-agent. */
-    readonly line: string;
-    /** Time left until the whole program should be finished, in milliseconds. */
+    /** The sequence of turns within the program: its main thread or that of a sub-agent. */
+    readonly thread: string;
+    /** Time left until the whole program should be finished. */
     readonly finishInMs: number | undefined;
-    /** Tokens that all turns of the program may generate. */
+    /** Total number of tokens that the program's turns may generate. */
     readonly tokenBudget: number | undefined;
-    /** The turn that this one continues. */
-    readonly continuesTurn: string | undefined;
+    /** Id of the turn that this call continues; missing for the first turn. */
+    readonly previousTurnId: string | undefined;
 }
 
-/** The decoded head of a caller's request. */
+/** The decoded headers of a caller's request. */
 export interface CallHead {
-    /** Id of this attempt of the caller; missing if the caller sent none. */
+    /** Id of this attempt of the caller; missing if the caller did not send one. */
     readonly id: string | undefined;
-    /** Time that the caller waits for the answer, in milliseconds. */
+    /** Time left until the caller's deadline; missing if the caller did not set one. */
     readonly leftMs: number | undefined;
     readonly prompt: PromptShape | undefined;
-    readonly program: ProgramClaim | undefined;
+    readonly program: ProgramInfo | undefined;
 }
--- a/packages/gateway/src/entry/entryServer.ts
+++ b/packages/gateway/src/entry/entryServer.ts
@@ -1,4 +1,4 @@
-/** The port for callers: finds the route of each request and runs the filter chain. */
+/** HTTP server for callers: selects the route of each request and runs the filter chain. */
 import { asError, listen, ProblemError, Progress, runChain, sendProblem, toProblemError } from "@marigolddrift/common";
 import type { Filter, Logger } from "@marigolddrift/common";
 import { createServer } from "node:http";
@@ -13,39 +13,39 @@
 import { chooseTarget } from "../routes.js";
 import type { CallerLimits, RouteTable } from "../routes.js";
 
-/** Largest head that the parser accepts, in bytes; the configured limit is checked after it. */
+/** Maximum size of the request headers for the HTTP parser; the configured limit is checked after parsing. */
 const parserHeaderBytes = 128 * 1024;
 
-/** Time beyond the configured one for which idle connections stay open, in milliseconds. */
-const idleSlackMs = 1_000;
+/** Time for which idle connections stay open beyond the configured idle timeout. */
+const keepAliveSlackMs = 1_000;
 
-/** Time that a whole request may take to arrive, in milliseconds. */
+/** Maximum time for receiving a complete request. */
 const requestTimeoutMs = 30_000;
 
-/** When callers may come back while there is no configuration or the instance stops, in seconds. */
-const notReadySeconds = 0.5;
+/** Time after which callers may retry if the instance has no configuration yet. */
+const notReadyRetryAfterSeconds = 0.5;
 
-/** What the server needs from the rest of the instance. */
-export interface EntryParts {
+/** Settings and dependencies of an {@link EntryServer}. */
+export interface EntryServerOptions {
     readonly filters: readonly Filter<CallContext>[];
     readonly protocol: CallProtocol;
     routes(): RouteTable | undefined;
-    /** Whether the instance stops, so that callers should move to another connection. */
+    /** Whether the instance is stopping, so that callers should close their connections. */
     isStopping(): boolean;
     readonly random: () => number;
     readonly metrics: GatewayMetrics;
     readonly log: Logger;
 }
 
-/** Accepts the requests of callers. */
+/** Accepts the requests of callers and sends the errors that the filters raise. */
 export class EntryServer {
-    /** Requests whose answers have not ended. */
+    /** Number of requests whose responses have not ended. */
     active = 0;
     private readonly server: Server;
     private readonly app: Polka;
     private readonly sockets = new Set<Socket>();
 
-    constructor(private readonly parts: EntryParts) {
+    constructor(private readonly options: EntryServerOptions) {
         this.server = createServer({
             maxHeaderSize: parserHeaderBytes,
             requestTimeout: requestTimeoutMs,
@@ -64,17 +64,17 @@
         return listen(this.app, this.server, host, port);
     }
 
-    /** Open connections of callers. */
+    /** Number of open connections from callers. */
     get connections(): number {
         return this.sockets.size;
     }
 
     applyLimits(limits: CallerLimits): void {
         this.server.headersTimeout = limits.headersTimeoutMs;
-        this.server.keepAliveTimeout = limits.idleTimeoutMs + idleSlackMs;
+        this.server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveSlackMs;
     }
 
-    /** Refuses new connections and closes idle ones; a caller whose request was not read moves to another instance. */
+    /** Refuses new connections and closes idle ones; callers retry a request that was not read at another instance. */
     stopAccepting(): void {
         this.server.close();
         this.server.closeIdleConnections();
@@ -95,41 +95,43 @@
         const trace: CallTrace = {};
         let progress: Progress | undefined;
         try {
-            if (this.parts.isStopping()) {
+            if (this.options.isStopping()) {
                 res.setHeader("Connection", "close");
             }
-            const ctx = this.admit(req, res, arrivedAt, trace);
+            const ctx = this.createContext(req, res, arrivedAt, trace);
             progress = ctx.progress;
-            await runChain(this.parts.filters, ctx);
+            await runChain(this.options.filters, ctx);
         }
         catch (err) {
-            this.onFailed(req, res, trace, toFailure(err, progress));
+            this.onFailed(req, res, trace, toProblem(err, progress));
         }
         finally {
             progress?.dispose();
             this.active -= 1;
-            this.report(req, arrivedAt, trace);
+            this.recordCall(req, arrivedAt, trace);
         }
     }
 
-    private admit(
+    private createContext(
         req: IncomingMessage,
         res: ServerResponse,
         arrivedAt: number,
         trace: CallTrace,
     ): CallContext {
-        const table = this.parts.routes();
+        const table = this.options.routes();
         if (table === undefined) {
             const detail = "This instance has not read the configuration yet.";
-            throw new ProblemError("not_configured", "notRun", detail, { retryAfterSeconds: notReadySeconds });
+            throw new ProblemError("not_configured", "notRun", detail, {
+                retryAfterSeconds: notReadyRetryAfterSeconds,
+            });
         }
         checkHeaderBytes(req, table.config.limits.maxHeaderBytes);
-        const head = this.parts.protocol.readCall(req.headers);
+        const head = this.options.protocol.parseCall(req.headers);
         const { program } = head;
-        Object.assign(trace, { request: head.id, program: program?.id, turnOf: program?.continuesTurn });
+        Object.assign(trace, { request: head.id, program: program?.id, turnOf: program?.previousTurnId });
         trace.config = table.config.version;
         const route = table.match(req.headers.host ?? "", req.url ?? "");
-        const service = route && table.service(chooseTarget(route, this.parts.random()));
+        const service = route && table.service(chooseTarget(route, this.options.random()));
         if (route === undefined || service === undefined) {
             throw new ProblemError("unknown_route", "notRun", "No route matches the host and path.");
         }
@@ -139,7 +141,7 @@
         Object.assign(trace, { route: route.name, service: service.name });
         const progress = new Progress(Math.min(head.leftMs ?? Infinity, route.timeoutMs));
         res.on("close", () => {
-            if (!res.writableFinished && (route.streams || route.idempotent)) {
+            if (!res.writableFinished && (route.isStreaming || route.idempotent)) {
                 progress.abort(new ProblemError("caller_gone", "mayHaveRun", "The caller closed the connection."));
             }
         });
@@ -167,7 +169,7 @@
     ): void {
         Object.assign(trace, { status: err.status, error: err.code, verdict: err.verdict, detail: err.message });
         if (res.headersSent) {
-            // What has been passed on cannot be taken back: only a broken connection says that the answer is not whole.
+            // Part of the response has been sent; only closing the connection can signal that it is incomplete.
             res.destroy();
             return;
         }
@@ -178,9 +180,9 @@
         sendProblem(res, err);
     }
 
-    private report(req: IncomingMessage, arrivedAt: number, trace: CallTrace): void {
+    private recordCall(req: IncomingMessage, arrivedAt: number, trace: CallTrace): void {
         const ms = Math.round(performance.now() - arrivedAt);
-        const { metrics, log } = this.parts;
+        const { metrics, log } = this.options;
         metrics.onCall(trace.route ?? "none", trace.error ?? String(trace.status ?? "gone"), ms);
         log.info("call", { method: req.method, path: req.url, ...trace, ms });
     }
@@ -196,23 +198,23 @@
             code === "ERR_HTTP_REQUEST_TIMEOUT" ?
             "408 Request Timeout" :
             "400 Bad Request";
-        this.parts.log.info("request refused", { error: asError(err).message, code, status });
+        this.options.log.info("request refused", { error: asError(err).message, code, status });
         socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
     }
 }
 
 const checkHeaderBytes = (req: IncomingMessage, maxBytes: number): void => {
-    const headers = req.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
-    if (headers + (req.url?.length ?? 0) > maxBytes) {
+    const headerBytes = req.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
+    if (headerBytes + (req.url?.length ?? 0) > maxBytes) {
         throw new ProblemError("headers_too_large", "notRun", `The head is larger than ${maxBytes} bytes.`);
     }
 };
 
-/** The reason for which the work was given up goes before the error that this caused. */
-const toFailure = (err: unknown, progress: Progress | undefined): ProblemError => {
+/** Prefers the reason for which the call was aborted over the error that the abort caused. */
+const toProblem = (err: unknown, progress: Progress | undefined): ProblemError => {
     const reason: unknown = progress?.signal.aborted ? progress.signal.reason : undefined;
-    const sent = err instanceof ProblemError && err.verdict !== "notRun";
-    if (reason instanceof ProblemError && sent) {
+    const mayHaveRun = err instanceof ProblemError && err.verdict !== "notRun";
+    if (reason instanceof ProblemError && mayHaveRun) {
         return new ProblemError(reason.code, "mayHaveRun", reason.message);
     }
     return toProblemError(err, "mayHaveRun");
--- a/packages/gateway/src/entry/statusServer.ts
+++ b/packages/gateway/src/entry/statusServer.ts
@@ -1,23 +1,23 @@
-/** Small servers beside the callers' port: readiness and metrics. */
+/** HTTP server for a status endpoint, such as readiness or metrics, on its own port. */
 import { listen } from "@marigolddrift/common";
 import { createServer } from "node:http";
 import polka from "polka";
 
-/** An answer to a GET request. */
-export interface StatusAnswer {
+/** Response to a GET request. */
+export interface StatusResponse {
     readonly status: number;
     readonly contentType: string;
     readonly body: string;
 }
 
-/** Answers one path. */
+/** Serves GET requests for a single path. */
 export class StatusServer {
     private readonly server = createServer();
     private readonly app;
 
-    constructor(path: string, answer: () => Promise<StatusAnswer> | StatusAnswer) {
+    constructor(path: string, respond: () => Promise<StatusResponse> | StatusResponse) {
         this.app = polka({ server: this.server }).get(path, (_, res) => {
-            void Promise.resolve(answer()).then(({ status, contentType, body }) => {
+            void Promise.resolve(respond()).then(({ status, contentType, body }) => {
                 res.writeHead(status, { "content-type": contentType, "content-length": Buffer.byteLength(body) });
                 res.end(body);
             });
--- a/packages/gateway/src/filters/answers.ts
+++ b/packages/gateway/src/filters/answers.ts
@@ -1,12 +1,12 @@
-/** How answers reach the caller: whole, or as a stream. */
+/** Sinks that send the response to the caller, either buffered or as a stream. */
 import type { ServerResponse } from "node:http";
 
 import type { ReplyHead } from "../protocol.js";
-import type { AnswerSink } from "../upstreams/attempt.js";
+import type { ResponseSink } from "../upstreams/attempt.js";
 import { EventCollector } from "../upstreams/eventCollector.js";
 
-/** Collects an answer; it is sent only once it is whole. */
-export class WholeAnswer implements AnswerSink {
+/** Buffers a response, which is sent only once it is complete. */
+export class BufferedResponse implements ResponseSink {
     private head: ReplyHead | undefined;
     private readonly chunks: Buffer[] = [];
 
@@ -23,7 +23,7 @@
         this.chunks.push(chunk);
     }
 
-    /** Sends what was collected. */
+    /** Sends the buffered response. */
     send(res: ServerResponse): void {
         const body = Buffer.concat(this.chunks);
         const { status, headers } = this.head!;
@@ -33,10 +33,10 @@
     }
 }
 
-/** Passes a stream on as it arrives; its end is left to the caller of this class. */
-export class StreamedAnswer implements AnswerSink {
+/** Forwards a stream as it arrives; the user of this class ends it. */
+export class StreamedResponse implements ResponseSink {
     readonly events = new EventCollector();
-    /** Time of the monotonic clock at which the first data was passed on. */
+    /** Monotonic time at which the first data was forwarded. */
     firstDataAt: number | undefined;
     private head: ReplyHead | undefined;
 
@@ -55,19 +55,19 @@
     }
 
     onData(chunk: Buffer): void {
-        this.begin();
+        this.writeHead();
         this.firstDataAt ??= performance.now();
         this.events.feed(chunk);
         this.res.write(chunk);
     }
 
-    /** Ends the answer as complete. */
+    /** Ends the response as complete. */
     end(): void {
-        this.begin();
+        this.writeHead();
         this.res.end();
     }
 
-    private begin(): void {
+    private writeHead(): void {
         if (!this.res.headersSent && !this.res.destroyed) {
             this.res.writeHead(this.head!.status, [...this.head!.headers]);
         }
--- a/packages/gateway/src/filters/bodyFilter.ts
+++ b/packages/gateway/src/filters/bodyFilter.ts
@@ -1,11 +1,11 @@
-/** Reads the body of a call, up to the configured size. */
+/** Reads the body of a call, up to the configured maximum size. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Filter } from "@marigolddrift/common";
 import type { IncomingMessage } from "node:http";
 
 import type { CallContext } from "./callContext.js";
 
-/** Reads whole bodies: a call is only sent on once it has arrived. */
+/** Buffers the whole body: a call is forwarded only once it has been received completely. */
 export class BodyFilter implements Filter<CallContext> {
     constructor(private readonly maxBytes: () => number) {}
 
--- a/packages/gateway/src/filters/budgetFilter.ts
+++ b/packages/gateway/src/filters/budgetFilter.ts
@@ -1,10 +1,10 @@
-/** Reserves a turn's tokens from its program's budget before the turn is sent. */
+/** Reserves tokens from the program's budget before a turn is forwarded. */
 import type { Filter } from "@marigolddrift/common";
 
 import type { TokenReserver } from "../budgets/regionBudgets.js";
 import type { CallContext } from "./callContext.js";
 
-/** Lets a turn pass only with tokens reserved, and settles what it used. */
+/** Requires a token reservation for each turn of a program with a budget, and settles the tokens used afterwards. */
 export class BudgetFilter implements Filter<CallContext> {
     constructor(private readonly budgets: TokenReserver) {}
 
--- a/packages/gateway/src/filters/callContext.ts
+++ b/packages/gateway/src/filters/callContext.ts
@@ -1,4 +1,4 @@
-/** What the filters know of a call. */
+/** State of a call, shared by the filters. */
 import type { Progress } from "@marigolddrift/common";
 import type { IncomingMessage, ServerResponse } from "node:http";
 
@@ -7,16 +7,19 @@
 import type { Route, Service } from "../routes.js";
 import type { Conversation } from "../turns/turnStore.js";
 
-/** What is logged of a call once it has ended; times are in milliseconds since its head arrived, or durations. */
+/**
+ * Fields that are logged when a call has ended. `sentMs` and `firstMs` are times since the headers arrived;
+ * `historyMs`, `budgetMs` and `savedMs` are durations.
+ */
 export interface CallTrace {
     request?: string;
     program?: string;
     turnOf?: string;
-    /** Version of the configuration that chose the route. */
+    /** Version of the configuration that the route was taken from. */
     config?: number;
     route?: string;
     service?: string;
-    /** The last upstream that the call was sent to. */
+    /** Id of the last upstream that the call was sent to. */
     upstream?: string;
     attempts?: number;
     historyMs?: number;
@@ -24,7 +27,7 @@
     sentMs?: number;
     firstMs?: number;
     savedMs?: number;
-    /** Tokens handed to the caller. */
+    /** Number of tokens sent to the caller. */
     tokens?: number;
     status?: number;
     error?: string;
@@ -32,26 +35,25 @@
     detail?: string;
 }
 
-/** A call on its way through the filters. */
+/** A call that passes through the filter chain. */
 export interface CallContext {
     readonly req: IncomingMessage;
     readonly res: ServerResponse;
     readonly head: CallHead;
-    /** Id of the caller's attempt. */
+    /** Id of this attempt of the caller. */
     readonly id: string;
     readonly route: Route;
     readonly service: Service;
-    /** Time of the monotonic clock at which the call's head had arrived, in milliseconds. */
+    /** Monotonic time at which the call's headers had arrived. */
     readonly arrivedAt: number;
-    /** Ends at the caller's deadline or the route's timeout, and when the caller leaves. */
+    /** Aborted at the caller's deadline or the route's timeout, or when the caller disconnects. */
     readonly progress: Progress;
     body: Buffer;
     conversation: Conversation | undefined;
     reservation: Reservation | undefined;
-    /** Fields of the line that is logged when the call has ended. */
     readonly trace: CallTrace;
 }
 
-/** Body as an upstream gets it: the conversation, then what is new. */
+/** Returns the body for the upstream: the history of the conversation, followed by the body of this call. */
 export const outgoingBody = (ctx: CallContext): Buffer =>
     ctx.conversation === undefined ? ctx.body : Buffer.concat([ctx.conversation.history, ctx.body]);
--- a/packages/gateway/src/filters/forwardFilter.ts
+++ b/packages/gateway/src/filters/forwardFilter.ts
@@ -1,69 +1,73 @@
-/** Sends a call to an upstream and its answer to the caller; tries again only what did not run or may run again. */
+/**
+ * Forwards a call to an upstream and the response to the caller; retries a call only if it did not run or may run more
+ * than once.
+ */
 import { ProblemError } from "@marigolddrift/common";
 import type { Filter, Logger } from "@marigolddrift/common";
 import type { Dispatcher, DispatchLease } from "@marigolddrift/dispatch";
 
-import type { PlacedCall } from "../placement.js";
-import { describeCall } from "../placement.js";
+import type { QueuedCall } from "../placement.js";
+import { createQueuedCall } from "../placement.js";
 import type { CallProtocol } from "../protocol.js";
 import { createTurn } from "../turns/turnRecord.js";
 import type { TurnStore } from "../turns/turnStore.js";
 import { attemptCall } from "../upstreams/attempt.js";
-import type { AttemptEnd } from "../upstreams/attempt.js";
+import type { AttemptResult } from "../upstreams/attempt.js";
 import type { Upstreams } from "../upstreams/upstreams.js";
-import { StreamedAnswer, WholeAnswer } from "./answers.js";
+import { BufferedResponse, StreamedResponse } from "./answers.js";
 import { outgoingBody } from "./callContext.js";
 import type { CallContext } from "./callContext.js";
 
-/** Upstreams that may refuse a call before the caller is told to come back. */
+/** Number of upstreams that may refuse a call before the caller is asked to retry. */
 const maxRefusals = 3;
 
-/** When a caller may come back after all upstreams refused, in seconds. */
+/** Time after which a caller may retry a call that all tried upstreams refused. */
 const retryAfterSeconds = 0.2;
 
-/** What the filter needs. */
-export interface ForwardParts {
-    readonly dispatcher: Dispatcher<PlacedCall>;
+/** Settings and dependencies of a {@link ForwardFilter}. */
+export interface ForwardFilterOptions {
+    readonly dispatcher: Dispatcher<QueuedCall>;
     readonly upstreams: Upstreams;
     readonly protocol: CallProtocol;
     readonly turns: TurnStore;
-    readonly onRead: (upstream: string, ctx: CallContext) => void;
+    /** Called when an upstream has processed the prompt of a call, so that the prompt is now in its cache. */
+    readonly onPromptProcessed: (upstream: string, ctx: CallContext) => void;
     readonly log: Logger;
 }
 
-/** The last filter of the chain. */
+/** The last filter of the chain: forwards the call and retries failed attempts. */
 export class ForwardFilter implements Filter<CallContext> {
-    constructor(private readonly parts: ForwardParts) {}
+    constructor(private readonly options: ForwardFilterOptions) {}
 
     async handle(ctx: CallContext): Promise<void> {
         const excluded = new Set<string>();
         let refusals = 0;
         let runs = 0;
         for (;;) {
-            const end = await this.tryOnce(ctx, excluded);
-            if (end.kind === "complete") {
+            const result = await this.runAttempt(ctx, excluded);
+            if (result.kind === "complete") {
                 return;
             }
-            this.parts.log.info("attempt failed", { request: ctx.id, upstream: ctx.trace.upstream, ...end });
-            if (end.kind === "notRun") {
+            this.options.log.info("attempt failed", { request: ctx.id, upstream: ctx.trace.upstream, ...result });
+            if (result.kind === "notRun") {
                 refusals += 1;
-                this.checkRefusals(ctx, refusals, end.detail);
+                this.checkRefusals(ctx, refusals, result.detail);
             }
             else {
                 runs += 1;
-                this.checkRuns(ctx, runs, end.detail);
+                this.checkRuns(ctx, runs, result.detail);
             }
         }
     }
 
-    private async tryOnce(ctx: CallContext, excluded: Set<string>): Promise<AttemptEnd> {
-        const { dispatcher } = this.parts;
-        const lease = await dispatcher.acquire(describeCall(ctx, excluded), ctx.progress);
+    private async runAttempt(ctx: CallContext, excluded: Set<string>): Promise<AttemptResult> {
+        const { dispatcher } = this.options;
+        const lease = await dispatcher.acquire(createQueuedCall(ctx, excluded), ctx.progress);
         excluded.add(lease.worker);
         const startedAt = performance.now();
-        const before = ctx.trace.attempts ?? 0;
+        const previousAttempts = ctx.trace.attempts ?? 0;
         const queuedMs = Math.round(startedAt - ctx.arrivedAt);
-        Object.assign(ctx.trace, { upstream: lease.worker, attempts: before + 1, sentMs: queuedMs });
+        Object.assign(ctx.trace, { upstream: lease.worker, attempts: previousAttempts + 1, sentMs: queuedMs });
         try {
             return await this.send(ctx, lease);
         }
@@ -73,14 +77,14 @@
         }
     }
 
-    private async send(ctx: CallContext, lease: DispatchLease): Promise<AttemptEnd> {
-        const upstream = this.parts.upstreams.get(lease.worker);
+    private async send(ctx: CallContext, lease: DispatchLease): Promise<AttemptResult> {
+        const upstream = this.options.upstreams.get(lease.worker);
         if (upstream === undefined) {
             return { kind: "notRun", detail: "the upstream has just left", unreachable: true };
         }
-        const answer = ctx.route.streams ? new StreamedAnswer(ctx.res) : new WholeAnswer();
+        const response = ctx.route.isStreaming ? new StreamedResponse(ctx.res) : new BufferedResponse();
         const { prompt } = ctx.head;
-        const headers = this.parts.protocol.forward(ctx.req.rawHeaders, {
+        const headers = this.options.protocol.buildUpstreamHeaders(ctx.req.rawHeaders, {
             upstream: upstream.entry.id,
             leftMs: Math.floor(ctx.progress.leftMs),
             enginePriority: prompt === undefined ? undefined : enginePriority(ctx),
@@ -89,47 +93,51 @@
         const hasBody = body.length > 0 || ctx.req.headers["content-length"] !== undefined;
         const call = { method: ctx.req.method!, path: ctx.req.url!, headers, body: hasBody ? body : undefined };
         const startedAt = performance.now();
-        const end = await attemptCall(upstream, call, ctx.id, this.parts.protocol, answer, ctx.progress);
-        if (end.kind === "notRun" && end.unreachable) {
-            upstream.setAside();
+        const result = await attemptCall(upstream, call, ctx.id, this.options.protocol, response, ctx.progress);
+        if (result.kind === "notRun" && result.unreachable) {
+            upstream.eject();
         }
-        if (end.kind === "complete") {
-            upstream.onServed(performance.now() - startedAt);
+        if (result.kind === "complete") {
+            upstream.recordDuration(performance.now() - startedAt);
         }
-        await this.finish(ctx, answer, end);
-        return end;
+        await this.completeAttempt(ctx, response, result);
+        return result;
     }
 
-    private async finish(ctx: CallContext, answer: StreamedAnswer | WholeAnswer, end: AttemptEnd): Promise<void> {
-        if (answer instanceof StreamedAnswer) {
-            ctx.trace.tokens = answer.events.events * (ctx.service.engine?.tokensPerEvent ?? 1);
-            ctx.trace.firstMs = Math.round((answer.firstDataAt ?? ctx.arrivedAt) - ctx.arrivedAt);
+    private async completeAttempt(
+        ctx: CallContext,
+        response: StreamedResponse | BufferedResponse,
+        result: AttemptResult,
+    ): Promise<void> {
+        if (response instanceof StreamedResponse) {
+            ctx.trace.tokens = response.events.events * (ctx.service.engine?.tokensPerEvent ?? 1);
+            ctx.trace.firstMs = Math.round((response.firstDataAt ?? ctx.arrivedAt) - ctx.arrivedAt);
         }
-        if (end.kind !== "complete") {
+        if (result.kind !== "complete") {
             return;
         }
-        ctx.trace.status = answer.status;
-        if (answer instanceof WholeAnswer) {
-            answer.send(ctx.res);
+        ctx.trace.status = response.status;
+        if (response instanceof BufferedResponse) {
+            response.send(ctx.res);
             return;
         }
-        if (answer.isSuccess) {
-            this.parts.onRead(ctx.trace.upstream!, ctx);
-            await this.keepTurn(ctx, answer);
+        if (response.isSuccess) {
+            this.options.onPromptProcessed(ctx.trace.upstream!, ctx);
+            await this.saveTurn(ctx, response);
         }
-        answer.end();
+        response.end();
     }
 
-    /** The answer's end tells the caller that the turn can be continued, so the turn is made durable before. */
-    private async keepTurn(ctx: CallContext, answer: StreamedAnswer): Promise<void> {
+    /** Saves the turn before the response ends, because the end tells the caller that the turn can be continued. */
+    private async saveTurn(ctx: CallContext, response: StreamedResponse): Promise<void> {
         const { route, conversation } = ctx;
         const { program } = ctx.head;
-        if (route.keepTurnsMs === 0 || program === undefined) {
+        if (route.turnRetentionMs === 0 || program === undefined) {
             return;
         }
         const startedAt = performance.now();
-        const turn = createTurn(ctx.id, conversation?.last, ctx.body, answer.events.output());
-        await this.parts.turns.save({ turn, program: program.id, keepMs: route.keepTurnsMs }, ctx.progress);
+        const turn = createTurn(ctx.id, conversation?.last, ctx.body, response.events.output());
+        await this.options.turns.save({ turn, program: program.id, keepMs: route.turnRetentionMs }, ctx.progress);
         ctx.trace.savedMs = Math.round(performance.now() - startedAt);
     }
 
@@ -150,8 +158,11 @@
     }
 }
 
-/** Priority that an engine gets: running programs before new ones, then the route's rank. */
+/**
+ * Priority for the engine: by the route's priority first; at the same priority, programs that are already running
+ * precede new ones.
+ */
 const enginePriority = (ctx: CallContext): number => {
-    const isRunning = ctx.head.program?.continuesTurn !== undefined;
+    const isRunning = ctx.head.program?.previousTurnId !== undefined;
     return Math.min(9, 2 * ctx.route.priority + (isRunning ? 2 : 3));
 };
--- a/packages/gateway/src/filters/historyFilter.ts
+++ b/packages/gateway/src/filters/historyFilter.ts
@@ -1,19 +1,19 @@
-/** Finds the conversation that a turn continues. */
+/** Loads the conversation that a turn continues. */
 import type { Filter } from "@marigolddrift/common";
 
 import type { TurnStore } from "../turns/turnStore.js";
 import type { CallContext } from "./callContext.js";
 
-/** Loads the turns before this one, from memory or from where they are kept. */
+/** Loads the previous turns of the conversation, from memory or from their archive. */
 export class HistoryFilter implements Filter<CallContext> {
     constructor(private readonly turns: TurnStore) {}
 
     async handle(ctx: CallContext, next: () => Promise<void>): Promise<void> {
         const { program } = ctx.head;
-        if (ctx.route.keepTurnsMs > 0 && program?.continuesTurn !== undefined) {
+        if (ctx.route.turnRetentionMs > 0 && program?.previousTurnId !== undefined) {
             const startedAt = performance.now();
             ctx.conversation = await this.turns.conversation(
-                { id: program.continuesTurn, program: program.id },
+                { id: program.previousTurnId, program: program.id },
                 ctx.progress,
             );
             ctx.trace.historyMs = Math.round(performance.now() - startedAt);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of an instance that serves plain HTTP calls together, starts them and stops them. */
+/** Assembles, starts and stops the components of an instance that serves plain HTTP calls. */
 import { delay, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { Dispatcher } from "@marigolddrift/dispatch";
@@ -21,76 +21,76 @@
 import { PeerServer } from "./peers/peerServer.js";
 import { answerStoreQuestion, RelayStore } from "./peers/relayStore.js";
 import { UpstreamPool } from "./placement.js";
-import type { PlacedCall } from "./placement.js";
+import type { QueuedCall } from "./placement.js";
 import { RouteTable } from "./routes.js";
 import { ChangeFeed } from "./state/changeFeed.js";
-import { Follower } from "./state/follower.js";
-import type { FollowerEvents } from "./state/follower.js";
-import { GroupWriter } from "./state/groupWriter.js";
-import { RegionReads } from "./state/regionReads.js";
+import { PrefixWatcher } from "./state/follower.js";
+import type { PrefixWatcherEvents } from "./state/follower.js";
+import { BatchWriter } from "./state/groupWriter.js";
+import { RegionalStoreReader } from "./state/regionReads.js";
 import { StoreArchive } from "./turns/storeArchive.js";
 import { packTurn } from "./turns/turnRecord.js";
 import { TurnStore } from "./turns/turnStore.js";
-import { SharedLoad } from "./upstreams/sharedLoad.js";
+import { LoadExchange } from "./upstreams/sharedLoad.js";
 import type { UpstreamEntry } from "./upstreams/upstreamEntry.js";
 import { Upstreams } from "./upstreams/upstreams.js";
 
-/** Instances that are taken to share an upstream's connections. */
-const assumedInstances = 8;
+/** Number of instances assumed to share an upstream's connection limit. */
+const assumedInstanceCount = 8;
 
-/** Connections that one instance opens to an upstream at most. */
+/** Maximum number of connections from one instance to an upstream. */
 const maxConnectionsPerUpstream = 24;
 
-/** Time for which writes gather before they are sent, in milliseconds. */
-const gatherMs = 3;
+/** Time for which writes are collected into a batch before it is sent. */
+const batchDelayMs = 3;
 
-/** Time after the stop signal during which new connections may still come, in milliseconds. */
+/** Time after the stop signal during which new connections may still arrive. */
 const minDrainMs = 2_600;
 
-/** Period at which a stopping instance looks whether calls are left, in milliseconds. */
+/** Interval at which a draining instance checks whether calls are still active. */
 const drainPollMs = 25;
 
-/** Time before the end of the grace period at which the instance gives up waiting, in milliseconds. */
+/** Part of the grace period, at its end, in which a draining instance no longer waits for active calls. */
 const drainReserveMs = 700;
 
-/** Default size limit of bodies before there is a configuration, in bytes. */
-const initialBodyBytes = 1024 * 1024;
+/** Limit on the body size until a configuration has been loaded. */
+const defaultMaxBodyBytes = 1024 * 1024;
 
-/** Time after an outage of the store for which removed entries may have lapsed only because of it, in milliseconds. */
-const lapseWindowMs = 5_000;
+/** Time after a store outage during which the removal of an entry may be an expiry caused only by the outage. */
+const postOutageWindowMs = 5_000;
 
-/** A part of the store that is followed, also for peers. */
-interface Followed {
-    readonly follower: Follower;
-    readonly reads: RegionReads;
+/** A key prefix of the store that is watched, also on behalf of peers. */
+interface WatchedPrefix {
+    readonly watcher: PrefixWatcher;
+    readonly reader: RegionalStoreReader;
 }
 
-/** One serving instance. */
+/** An instance that serves callers. */
 export class Gateway {
     readonly metrics = new GatewayMetrics();
     readonly upstreams: Upstreams;
     readonly turns: TurnStore;
     readonly budgets: Budgets;
     readonly entry: EntryServer;
-    /** Port that callers connect to. */
+    /** Port for callers; 0 until the gateway has started. */
     port = 0;
     private peerPort = 0;
-    private table: RouteTable | undefined;
-    private hasUpstreams = false;
+    private routeTable: RouteTable | undefined;
+    private hasUpstreamSnapshot = false;
     private stopping = false;
-    private storeAwayUntil = -Infinity;
+    private storeOutageUntil = -Infinity;
     private readonly regionBudgets: RegionBudgets;
-    private readonly writer: GroupWriter;
-    private readonly sharedLoad: SharedLoad;
-    private readonly archive: StoreArchive;
-    private readonly journals: JournalArchive;
-    private readonly self: PeerSelf;
-    private readonly config: Followed;
-    private readonly upstreamEntries: Followed;
-    private readonly dispatcher: Dispatcher<PlacedCall>;
+    private readonly writer: BatchWriter;
+    private readonly loadExchange: LoadExchange;
+    private readonly storeArchive: StoreArchive;
+    private readonly journalArchive: JournalArchive;
+    private readonly localPeer: PeerSelf;
+    private readonly config: WatchedPrefix;
+    private readonly upstreamEntries: WatchedPrefix;
+    private readonly dispatcher: Dispatcher<QueuedCall>;
     private readonly peers: Peers;
     private readonly peerServer: PeerServer;
-    /** The platform's store, also through peers. */
+    /** The platform's store; calls that fail directly are relayed through peers. */
     private readonly store: VersionedStore;
     private readonly log: Logger;
 
@@ -103,55 +103,55 @@
         this.peers = this.createPeers();
         this.peerServer = new PeerServer(
             () => this.peers.key,
-            (question, progress) => this.answer(question, progress),
+            (question, progress) => this.answerPeer(question, progress),
             log,
         );
-        const self = { zone: options.zone, region: options.regionOf(options.zone), regionOf: options.regionOf };
+        const topology = { zone: options.zone, region: options.regionOf(options.zone), regionOf: options.regionOf };
         this.upstreams = new Upstreams(
             id => pool.prefixes.forget(id),
-            () => this.table,
-            maxConnections => Math.min(maxConnectionsPerUpstream, Math.floor(maxConnections / assumedInstances)),
+            () => this.routeTable,
+            maxConnections => Math.min(maxConnectionsPerUpstream, Math.floor(maxConnections / assumedInstanceCount)),
             log,
         );
         const address = (): string => peerName({ host: options.host, port: this.peerPort });
-        this.self = { instance: options.instance, region: self.region, address };
-        this.sharedLoad = new SharedLoad(this.self, this.peers, () => this.upstreams.ownLoad(), log);
-        const pool = new UpstreamPool(self, this.upstreams, upstream => this.sharedLoad.on(upstream));
-        this.writer = new GroupWriter(store, gatherMs, log);
-        this.archive = new StoreArchive(store, this.writer, log);
-        this.journals = new JournalArchive(this.peers, this.archive, options, log);
-        this.turns = new TurnStore(this.journals, log);
+        this.localPeer = { instance: options.instance, region: topology.region, address };
+        this.loadExchange = new LoadExchange(this.localPeer, this.peers, () => this.upstreams.localLoad(), log);
+        const pool = new UpstreamPool(topology, this.upstreams, upstream => this.loadExchange.peerLoadOf(upstream));
+        this.writer = new BatchWriter(store, batchDelayMs, log);
+        this.storeArchive = new StoreArchive(store, this.writer, log);
+        this.journalArchive = new JournalArchive(this.peers, this.storeArchive, options, log);
+        this.turns = new TurnStore(this.journalArchive, log);
         this.budgets = new Budgets(options.instance, this.writer, store, this.peers, log);
-        this.regionBudgets = new RegionBudgets(this.self, this.budgets, this.peers, log);
+        this.regionBudgets = new RegionBudgets(this.localPeer, this.budgets, this.peers, log);
         const policy = { place: createPlacement("expectedFinishSampled"), order: nextCall, admission: true, random };
         this.dispatcher = new Dispatcher(pool, policy, log, this.metrics);
         this.entry = this.createEntry(pool, random);
-        this.config = this.follow(layout.configKey, {
-            onSnapshot: values => values.forEach(stored => this.onConfig(stored)),
-            onChanges: changes => changes.forEach(change => change.kind === "put" && this.onConfig(change.stored)),
+        this.config = this.watch(layout.configKey, {
+            onSnapshot: values => values.forEach(stored => this.applyConfig(stored)),
+            onChanges: changes => changes.forEach(change => change.kind === "put" && this.applyConfig(change.stored)),
         });
-        this.upstreamEntries = this.follow(layout.upstreamsPrefix, {
+        this.upstreamEntries = this.watch(layout.upstreamsPrefix, {
             onSnapshot: values => this.onUpstreamSnapshot(values),
             onChanges: changes => changes.forEach(change => this.onUpstreamChange(change)),
         });
         this.addGauges();
     }
 
-    /** Whether callers should be sent here. */
+    /** Whether the instance is ready to serve callers. */
     get isReady(): boolean {
-        return !this.stopping && this.table !== undefined && this.hasUpstreams;
+        return !this.stopping && this.routeTable !== undefined && this.hasUpstreamSnapshot;
     }
 
     async start(): Promise<void> {
         const { host } = this.options;
         this.peerPort = await this.peerServer.listen(host, this.options.peerPort);
         this.peers.start();
-        this.config.follower.start();
-        this.upstreamEntries.follower.start();
+        this.config.watcher.start();
+        this.upstreamEntries.watcher.start();
         this.port = await this.entry.listen(host, this.options.port);
     }
 
-    /** Serves on until callers have moved elsewhere, or the grace period ends. */
+    /** Continues to serve calls until none are active or the grace period ends, then returns the unused budgets. */
     async drain(): Promise<void> {
         const startedAt = performance.now();
         this.stopping = true;
@@ -167,24 +167,24 @@
         }
         const progress = new Progress(Math.max(200, this.options.graceMs - drainReserveMs / 2 - elapsed()));
         await progress.race(this.budgets.returnAll(progress)).catch((err: unknown) => {
-            this.log.warn("budgets not returned", { error: String(err), outcome: "they count as spent" });
+            this.log.warn("budget return failed", { error: String(err), outcome: "reserved tokens count as spent" });
         });
         progress.dispose();
         this.log.info("stopped", { ms: Math.round(elapsed()), active: this.entry.active });
     }
 
-    /** Looks for other instances now, rather than at the next period. */
+    /** Refreshes the list of peers immediately instead of at the next interval. */
     async refreshPeers(): Promise<void> {
         await this.peers.refresh();
     }
 
     close(): void {
-        this.config.follower.stop();
-        this.upstreamEntries.follower.stop();
-        this.sharedLoad.close();
+        this.config.watcher.stop();
+        this.upstreamEntries.watcher.stop();
+        this.loadExchange.close();
         this.peers.stop();
         this.peerServer.close();
-        this.archive.close();
+        this.storeArchive.close();
         this.budgets.close();
         this.entry.close();
         this.upstreams.close();
@@ -197,19 +197,19 @@
         return new Peers(machine, self, this.store, this.log);
     }
 
-    private async answer(question: PeerQuestion | JournalQuestion, progress: Progress): Promise<unknown> {
+    private async answerPeer(question: PeerQuestion | JournalQuestion, progress: Progress): Promise<unknown> {
         switch (question.kind) {
             case "returnBudget":
                 return await this.budgets.returnFor(question.program, progress);
             case "followed": {
                 const { prefix, revision, waitMs } = question;
-                const { reads } = prefix === this.options.layout.configKey ? this.config : this.upstreamEntries;
-                return await reads.answer(prefix, revision, waitMs, progress);
+                const { reader } = prefix === this.options.layout.configKey ? this.config : this.upstreamEntries;
+                return await reader.answerPeer(prefix, revision, waitMs, progress);
             }
             case "shareLoad":
-                return this.sharedLoad.onReport(question.instance, question.load);
+                return this.loadExchange.onReport(question.instance, question.load);
             case "loadTurn": {
-                const turn = await this.journals.loadForPeer(question, progress);
+                const turn = await this.journalArchive.loadForPeer(question, progress);
                 return turn && packTurn(turn);
             }
             case "reserveTokens":
@@ -237,9 +237,9 @@
             protocol,
             turns,
             log,
-            onRead: (upstream, ctx) => pool.prefixes.onRead(upstream, ctx.head.prompt?.parts ?? []),
+            onPromptProcessed: (upstream, ctx) => pool.prefixes.onRead(upstream, ctx.head.prompt?.parts ?? []),
         });
-        const maxBytes = (): number => this.table?.config.limits.maxBodyBytes ?? initialBodyBytes;
+        const maxBytes = (): number => this.routeTable?.config.limits.maxBodyBytes ?? defaultMaxBodyBytes;
         return new EntryServer({
             filters: [
                 new BodyFilter(maxBytes),
@@ -248,7 +248,7 @@
                 forward,
             ],
             protocol,
-            routes: () => this.table,
+            routes: () => this.routeTable,
             isStopping: () => this.stopping,
             random,
             metrics: this.metrics,
@@ -256,26 +256,26 @@
         });
     }
 
-    private follow(
+    private watch(
         prefix: string,
-        events: Pick<FollowerEvents, "onSnapshot" | "onChanges">,
-    ): Followed {
+        events: Pick<PrefixWatcherEvents, "onSnapshot" | "onChanges">,
+    ): WatchedPrefix {
         const { storeSilenceMs } = this.options;
         const feed = new ChangeFeed();
-        const reads = new RegionReads(this.self, this.store, this.peers, feed, this.log);
+        const reader = new RegionalStoreReader(this.localPeer, this.store, this.peers, feed, this.log);
         const outages = {
-            onLost: () => this.storeAwayUntil = Infinity,
-            onRegained: () => this.storeAwayUntil = performance.now() + lapseWindowMs,
+            onDisconnected: () => this.storeOutageUntil = Infinity,
+            onReconnected: () => this.storeOutageUntil = performance.now() + postOutageWindowMs,
         };
-        const follower = new Follower(reads, prefix, { ...events, ...outages }, storeSilenceMs, this.log, feed);
-        return { follower, reads };
+        const watcher = new PrefixWatcher(reader, prefix, { ...events, ...outages }, storeSilenceMs, this.log, feed);
+        return { watcher, reader };
     }
 
-    private get storeWasAway(): boolean {
-        return performance.now() < this.storeAwayUntil;
+    private get storeWasUnavailable(): boolean {
+        return performance.now() < this.storeOutageUntil;
     }
 
-    private onConfig(stored: StoredValue): void {
+    private applyConfig(stored: StoredValue): void {
         if (stored.key !== this.options.layout.configKey) {
             return;
         }
@@ -287,29 +287,29 @@
             });
             return;
         }
-        if (this.table !== undefined && config.version <= this.table.config.version) {
+        if (this.routeTable !== undefined && config.version <= this.routeTable.config.version) {
             return;
         }
-        this.table = new RouteTable(config);
+        this.routeTable = new RouteTable(config);
         this.entry.applyLimits(config.limits);
-        this.log.info("configuration in force", { version: config.version, routes: config.routes.length });
+        this.log.info("configuration applied", { version: config.version, routes: config.routes.length });
     }
 
     private onUpstreamSnapshot(values: readonly StoredValue[]): void {
         const entries = values.map(stored => this.decodeUpstream(stored)).filter(entry => entry !== undefined);
-        this.upstreams.onSnapshot(entries, this.storeWasAway);
-        this.hasUpstreams = true;
+        this.upstreams.onSnapshot(entries, this.storeWasUnavailable);
+        this.hasUpstreamSnapshot = true;
         this.dispatcher.pumpAll();
     }
 
     private onUpstreamChange(change: StoreChange): void {
         if (change.kind === "removed") {
-            this.upstreams.onGone(this.options.layout.upstreamId(change.key), this.storeWasAway);
+            this.upstreams.onEntryRemoved(this.options.layout.upstreamId(change.key), this.storeWasUnavailable);
             return;
         }
         const entry = this.decodeUpstream(change.stored);
         if (entry !== undefined) {
-            this.upstreams.onEntry(entry);
+            this.upstreams.onEntryPut(entry);
             this.dispatcher.pumpAll();
         }
     }
@@ -317,7 +317,7 @@
     private decodeUpstream(stored: StoredValue): UpstreamEntry | undefined {
         const entry = this.options.layout.decodeUpstream(stored.key, stored.value);
         if (entry === undefined) {
-            this.log.info("upstream entry ignored", { key: stored.key, reason: "it names no upstream to use" });
+            this.log.info("upstream entry ignored", { key: stored.key, reason: "it names no valid upstream" });
         }
         return entry;
     }
@@ -326,11 +326,11 @@
         this.metrics.addGauge("calls_active", "Calls whose answers have not ended", () => this.entry.active);
         this.metrics.addGauge("calls_waiting", "Calls that wait for an upstream", () => this.dispatcher.waitingCalls);
         this.metrics.addGauge("upstreams", "Known upstreams", () => this.upstreams.size);
-        this.metrics.addGauge("config_version", "Version in force", () => this.table?.config.version ?? 0);
+        this.metrics.addGauge("config_version", "Version in force", () => this.routeTable?.config.version ?? 0);
         this.metrics.addGauge(
             "store_age_milliseconds",
             "Age of the view of the upstreams",
-            () => this.upstreamEntries.follower.ageMs,
+            () => this.upstreamEntries.watcher.ageMs,
         );
     }
 }
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -1,11 +1,11 @@
-/** Counters and latency histograms, served as text. */
+/** Counters, gauges and latency histograms in the Prometheus text format. */
 import type { Metrics } from "@marigolddrift/common";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Upper bounds of the latency histogram's buckets, in milliseconds. */
+/** Upper bounds of the buckets of the latency histograms. */
 const latencyBucketsMs = [5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000];
 
-/** Metrics of one instance; counts and durations of other parts come in by their name. */
+/** Metrics of one instance; other components report their counters, durations and gauges by name. */
 export class GatewayMetrics implements Metrics {
     private readonly registry = new Registry();
     private readonly calls = new Counter({
@@ -56,7 +56,6 @@
         this.latency.observe({ route }, ms);
     }
 
-    /** Sets a gauge. */
     gauge(name: string, value: number): void {
         this.values.set({ name }, value);
     }
@@ -65,7 +64,7 @@
         this.registry.clear();
     }
 
-    /** Adds a gauge that is read whenever the metrics are. */
+    /** Registers a gauge whose value is read at each scrape. */
     addGauge(name: string, help: string, read: () => number): void {
         new Gauge({
             name: `marigolddrift_${name}`,
@@ -77,7 +76,7 @@
         });
     }
 
-    /** The metrics in text form. */
+    /** Returns all metrics in the Prometheus text format. */
     async text(): Promise<string> {
         return await this.registry.metrics();
     }
--- a/packages/gateway/src/gatewayOptions.ts
+++ b/packages/gateway/src/gatewayOptions.ts
@@ -1,4 +1,4 @@
-/** What an instance that serves calls is given from outside. */
+/** Settings and dependencies of a gateway. */
 import type { Logger } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
 
@@ -6,18 +6,18 @@
 import type { RoutingConfig } from "./routes.js";
 import type { UpstreamEntry } from "./upstreams/upstreamEntry.js";
 
-/** Where the configuration and the upstreams stand in the store, and how they are written there. */
+/** Keys and encodings of the configuration and the upstreams in the store. */
 export interface StoreLayout {
     readonly configKey: string;
     readonly upstreamsPrefix: string;
-    /** Returns undefined for what is not a valid configuration. */
+    /** Returns undefined if the value is not a valid configuration. */
     decodeConfig(value: Buffer): RoutingConfig | undefined;
-    /** Returns undefined for what names no upstream to use. */
+    /** Returns undefined if the entry does not describe a valid upstream. */
     decodeUpstream(key: string, value: Buffer): UpstreamEntry | undefined;
     upstreamId(key: string): string;
 }
 
-/** Settings of a gateway. */
+/** Settings and dependencies of a {@link Gateway}. */
 export interface GatewayOptions {
     /** Unique to this process. */
     readonly instance: string;
@@ -25,17 +25,17 @@
     readonly regionOf: (zone: string) => string;
     readonly host: string;
     readonly port: number;
-    /** Name of the machine, the same after a restart. */
+    /** Name of the machine, which stays the same after a restart. */
     readonly machine: string;
     readonly peerPort: number;
     readonly store: VersionedStore;
     readonly layout: StoreLayout;
     readonly protocol: CallProtocol;
-    /** Losses of machines with disks that must not lose a turn. */
+    /** Number of machines with disks that may be lost without the loss of a turn. */
     readonly toleratedLosses: number;
-    /** Longest time for which a silent connection to the store may go unnoticed, in milliseconds. */
+    /** Longest time within which an unresponsive connection to the store must be detected. */
     readonly storeSilenceMs: number;
-    /** Time between the stop signal and the end, in milliseconds. */
+    /** Time between the stop signal and the end of the process. */
     readonly graceMs: number;
     readonly random?: () => number;
     readonly log: Logger;
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Serves plain HTTP calls of agent programs. */
+/** Gateway for plain HTTP calls of agent programs. */
 export * from "./budgets/budgetRecord.js";
 export * from "./budgets/budgets.js";
 export * from "./budgets/regionBudgets.js";
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -1,32 +1,37 @@
-/** Connects the dispatcher with what is known of the upstreams. */
+/** Adapts the known upstreams to the dispatcher. */
 import type { DispatchRequest, DispatchTarget } from "@marigolddrift/dispatch";
 import { expectedRoundTripMs, PrefixView } from "@marigolddrift/policy";
 import type { CostModel, WorkerView } from "@marigolddrift/policy";
 
 import type { PromptPart } from "./call.js";
 import type { CallContext } from "./filters/callContext.js";
-import type { OthersLoad } from "./upstreams/sharedLoad.js";
+import type { PeerLoad } from "./upstreams/sharedLoad.js";
 import type { Upstream, Upstreams } from "./upstreams/upstreams.js";
 
-/** Speed of an engine before anything was observed of it, in milliseconds. */
-const engineCost = { prefillMsPerToken: 0.017, decodeBaseMs: 2.6, decodePerSequenceMs: 0.02, importMsPerToken: 0 };
+/** Assumed cost model of a model engine; the maximum batch size is taken from the upstream's entry. */
+const defaultEngineCost = {
+    prefillMsPerToken: 0.017,
+    decodeBaseMs: 2.6,
+    decodePerSequenceMs: 0.02,
+    importMsPerToken: 0,
+};
 
-/** Duration of a call to a plain service before any was observed, in milliseconds. */
-const initialCallMs = 30;
+/** Assumed duration of a call to a plain service until one has been measured. */
+const defaultCallMs = 30;
 
-/** Share of its longest output that a turn generates, where the caller does not say. */
+/** Share of the maximum output that a turn is assumed to generate if the caller gives no estimate. */
 const expectedOutputShare = 0.3;
 
-/** Calls on an upstream at a time, as a share of its places. */
-const queueShare = 1.5;
+/** Maximum number of calls in flight on an upstream, as a multiple of its slots. */
+const maxInFlightPerSlot = 1.5;
 
-/** A call that waits for an upstream. */
-export interface PlacedCall extends DispatchRequest {
-    readonly parts: readonly PromptPart[];
+/** A call that is queued for an upstream. */
+export interface QueuedCall extends DispatchRequest {
+    readonly promptParts: readonly PromptPart[];
 }
 
-/** Describes a call to the dispatcher; its queue is that of its service. */
-export const describeCall = (ctx: CallContext, excluded: ReadonlySet<string>): PlacedCall => {
+/** Creates the dispatcher's request for a call; calls are queued by service. */
+export const createQueuedCall = (ctx: CallContext, excluded: ReadonlySet<string>): QueuedCall => {
     const { program, prompt } = ctx.head;
     const now = performance.now();
     const expectedTokens = prompt === undefined ?
@@ -41,39 +46,39 @@
         priority: ctx.route.priority,
         since: now,
         deadline: now + ctx.progress.leftMs,
-        expectedMs: prompt === undefined ? initialCallMs : expectedTokens * engineCost.decodeBaseMs,
+        expectedMs: prompt === undefined ? defaultCallMs : expectedTokens * defaultEngineCost.decodeBaseMs,
         workspaceLoad: 0,
         shape: { promptTokens: prompt?.promptTokens ?? 0, expectedTokens },
-        firstCall: program?.continuesTurn === undefined,
+        firstCall: program?.previousTurnId === undefined,
         excluded,
         bytes: ctx.body.length,
-        parts: prompt?.parts ?? [],
+        promptParts: prompt?.parts ?? [],
     };
 };
 
-/** Where an instance is, and where zones are. */
-export interface Geography {
+/** Zone and region of an instance, and the regions of all zones. */
+export interface Topology {
     readonly zone: string;
     readonly region: string;
     regionOf(zone: string): string;
 }
 
 /** The upstreams as the dispatcher sees them. */
-export class UpstreamPool implements DispatchTarget<PlacedCall> {
+export class UpstreamPool implements DispatchTarget<QueuedCall> {
     readonly prefixes = new PrefixView();
 
     constructor(
-        private readonly self: Geography,
+        private readonly topology: Topology,
         private readonly upstreams: Upstreams,
-        private readonly othersOn: (upstream: string) => OthersLoad,
+        private readonly peerLoadOf: (upstream: string) => PeerLoad,
     ) {}
 
-    /** Upstreams of the own region; others only if all of them are full or failed the call. */
-    views(req: PlacedCall): WorkerView[] {
+    /** Upstreams of the instance's region; those of all regions only if the former are full or have failed the call. */
+    views(req: QueuedCall): WorkerView[] {
         const usable = this.upstreams.usable(req.model).filter(({ entry }) => !req.excluded.has(entry.id));
-        const near = usable.filter(({ entry }) => this.self.regionOf(entry.zone) === this.self.region);
-        const hasRoom = near.some(({ entry, inFlight }) => inFlight < entry.slots);
-        return (hasRoom ? near : usable).map(upstream => this.view(upstream, req));
+        const sameRegion = usable.filter(({ entry }) => this.topology.regionOf(entry.zone) === this.topology.region);
+        const hasFreeSlot = sameRegion.some(({ entry, inFlight }) => inFlight < entry.slots);
+        return (hasFreeSlot ? sameRegion : usable).map(upstream => this.createView(upstream, req));
     }
 
     capacity(service: string): number {
@@ -98,33 +103,36 @@
         return true;
     }
 
-    private view(upstream: Upstream, req: PlacedCall): WorkerView {
+    private createView(upstream: Upstream, req: QueuedCall): WorkerView {
         const { entry, inFlight } = upstream;
-        const others = this.othersOn(entry.id);
+        const peerLoad = this.peerLoadOf(entry.id);
         return {
             worker: entry.id,
             zone: entry.zone,
             ownInFlight: inFlight,
-            reportedInFlight: others.calls,
+            reportedInFlight: peerLoad.calls,
             ownAtReport: 0,
-            reportAgeMs: others.ageMs,
-            cachedTokens: this.prefixes.cachedTokens(entry.id, req.parts),
+            reportAgeMs: peerLoad.ageMs,
+            cachedTokens: this.prefixes.cachedTokens(entry.id, req.promptParts),
             exportedTokens: 0,
             slowdown: 1,
-            roundTripMs: expectedRoundTripMs(this.self, { zone: entry.zone, region: this.self.regionOf(entry.zone) }),
-            // Some calls wait at the upstream, so that it never idles while the news of a free place is under way.
-            maxInFlight: entry.slots * queueShare,
+            roundTripMs: expectedRoundTripMs(this.topology, {
+                zone: entry.zone,
+                region: this.topology.regionOf(entry.zone),
+            }),
+            // A few calls queue at the upstream, so that it does not idle until the release of a slot is known here.
+            maxInFlight: entry.slots * maxInFlightPerSlot,
             cost: costOf(upstream, req),
         };
     }
 }
 
-const costOf = (upstream: Upstream, req: PlacedCall): CostModel =>
+const costOf = (upstream: Upstream, req: QueuedCall): CostModel =>
     req.shape.promptTokens > 0 ?
-        { ...engineCost, maxBatch: upstream.entry.slots } :
+        { ...defaultEngineCost, maxBatch: upstream.entry.slots } :
         {
             prefillMsPerToken: 0,
-            decodeBaseMs: upstream.meanCallMs ?? initialCallMs,
+            decodeBaseMs: upstream.meanCallMs ?? defaultCallMs,
             decodePerSequenceMs: 0,
             importMsPerToken: 0,
             maxBatch: upstream.entry.slots,
--- a/packages/gateway/src/protocol.ts
+++ b/packages/gateway/src/protocol.ts
@@ -1,37 +1,37 @@
-/** How calls and replies are written on the wire; adapters implement it. */
+/** Encoding of calls and replies on the wire; implemented by adapters. */
 import type { IncomingHttpHeaders } from "node:http";
 
 import type { CallHead } from "./call.js";
 
-/** What an instance adds to a call that it passes on. */
+/** Metadata that an instance adds to a call that it forwards. */
 export interface ForwardedCall {
-    /** Instance id of the only upstream that may run the call. */
+    /** Id of the upstream process that the call is meant for; no other process may run it. */
     readonly upstream: string;
-    /** Time left to the caller, in milliseconds. */
+    /** Time left until the call's deadline. */
     readonly leftMs: number;
-    /** Priority for a model engine, 0 first and 9 last; missing for plain services. */
+    /** Priority for a model engine, from 0 (highest) to 9 (lowest); missing for plain services. */
     readonly enginePriority: number | undefined;
 }
 
-/** What the head of an upstream's reply says. */
+/** The decoded status and headers of an upstream's reply. */
 export interface ReplyHead {
     readonly status: number;
-    /** The call that the reply answers. */
+    /** Id of the call that the reply answers; missing if the reply does not name one. */
     readonly callId: string | undefined;
-    /** Whether the reply bears the upstream's signature. */
+    /** Whether the reply carries the upstream's signature. */
     readonly signed: boolean;
-    /** Whether the upstream states that it did not run the call. */
+    /** Whether the upstream states explicitly that it did not run the call. */
     readonly notRun: boolean;
-    /** Whether the status promises a caller that the call has not run. */
+    /** Whether the status alone promises a caller that the call has not run. */
     readonly promisesNotRun: boolean;
-    /** Headers for the caller, as names and values in turn. */
+    /** Headers for the caller, as alternating names and values. */
     readonly headers: readonly string[];
 }
 
-/** Translates between the wire and the product's types. */
+/** Translates between the wire format and the gateway's types. */
 export interface CallProtocol {
-    readCall(headers: IncomingHttpHeaders): CallHead;
-    /** Headers for the upstream, as names and values in turn. */
-    forward(rawHeaders: readonly string[], call: ForwardedCall): string[];
-    readReply(status: number, rawHeaders: readonly string[]): ReplyHead;
+    parseCall(headers: IncomingHttpHeaders): CallHead;
+    /** Returns the headers for the upstream, as alternating names and values. */
+    buildUpstreamHeaders(rawHeaders: readonly string[], call: ForwardedCall): string[];
+    parseReply(status: number, rawHeaders: readonly string[]): ReplyHead;
 }
--- a/packages/gateway/src/routes.ts
+++ b/packages/gateway/src/routes.ts
@@ -1,51 +1,51 @@
-/** The routes, services and limits that are in force. */
+/** Routing configuration: routes, services and limits. */
 
-/** A service with its share of a route's calls. */
+/** A service and its weight among the targets of a route. */
 export interface RouteTarget {
     readonly service: string;
     readonly weight: number;
 }
 
-/** What callers may ask for below a host and path prefix. */
+/** Routing rules for the calls below a host and path prefix. */
 export interface Route {
     readonly name: string;
     readonly host: string;
     /** Begins and ends with a slash. */
     readonly prefix: string;
-    /** Whether the answer is a stream of events. */
-    readonly streams: boolean;
+    /** Whether the response is a stream of events. */
+    readonly isStreaming: boolean;
     /** Whether a call may run more than once. */
     readonly idempotent: boolean;
     readonly targets: readonly RouteTarget[];
-    /** Longest time that a caller is kept waiting, in milliseconds. */
+    /** Maximum duration of a call. */
     readonly timeoutMs: number;
-    /** Time within which an answer is of full use to the caller, in milliseconds. */
-    readonly targetMs: number;
-    /** Rank of the route, 0 first. */
+    /** Latency up to which a response is of full use to the caller. */
+    readonly targetLatencyMs: number;
+    /** Priority of the route; 0 is the highest. */
     readonly priority: number;
-    /** Number of upstreams on which one call may run. */
+    /** Maximum number of upstreams on which one call may run. */
     readonly maxUpstreams: number;
-    /** Time for which a turn can be continued, in milliseconds; 0 if turns are not kept. */
-    readonly keepTurnsMs: number;
+    /** Time for which a turn can be continued; 0 if turns are not stored. */
+    readonly turnRetentionMs: number;
 }
 
-/** What is known of a service's model engines. */
+/** Properties of a service's model engines. */
 export interface EngineTraits {
     readonly maxBatch: number;
     readonly memoryTokens: number;
     readonly tokensPerEvent: number;
 }
 
-/** A set of upstreams that answer the same calls. */
+/** A set of upstreams that serve the same calls. */
 export interface Service {
     readonly name: string;
-    /** Connections that one upstream accepts from all instances together. */
+    /** Number of connections that one upstream accepts from all instances together. */
     readonly maxConnections: number;
     /** Missing for plain services. */
     readonly engine: EngineTraits | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size limits and timeouts for the requests of callers. */
 export interface CallerLimits {
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
@@ -77,20 +77,20 @@
     }
 
     /**
-     * The route with the longest prefix of a path, without its query.
+     * Returns the route with the longest matching prefix; the query of the path is ignored.
      *
      * @example
      * table.match("quotes.example:80", "/fills/7?size=2")?.name;
      */
     match(host: string, path: string): Route | undefined {
         const prefixes = this.hosts.get(host.toLowerCase().split(":")[0]!);
-        const bare = path.split(/[?#]/, 1)[0]!;
+        const pathname = path.split(/[?#]/, 1)[0]!;
         for (
-            let end = bare.lastIndexOf("/");
+            let end = pathname.lastIndexOf("/");
             prefixes !== undefined && end >= 0;
-            end = bare.lastIndexOf("/", end - 1)
+            end = pathname.lastIndexOf("/", end - 1)
         ) {
-            const route = prefixes.get(bare.slice(0, end + 1));
+            const route = prefixes.get(pathname.slice(0, end + 1));
             if (route !== undefined) {
                 return route;
             }
@@ -106,13 +106,13 @@
     }
 }
 
-/** Chooses the service for a call by the weights of its route; `random` is in [0, 1). */
+/** Chooses a service at random by the weights of the route's targets; `random` is in [0, 1). */
 export const chooseTarget = (route: Route, random: number): string => {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    let left = random * total;
+    let remaining = random * total;
     for (const target of route.targets) {
-        left -= target.weight;
-        if (left < 0) {
+        remaining -= target.weight;
+        if (remaining < 0) {
             return target.service;
         }
     }
--- a/packages/gateway/src/state/changeFeed.ts
+++ b/packages/gateway/src/state/changeFeed.ts
@@ -1,77 +1,78 @@
-/** Keeps the recent changes below a prefix for peers that follow it through this instance. */
+/** Buffers the recent changes below a key prefix for peers that watch it through this instance. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Progress } from "@marigolddrift/common";
 import { HistoryGoneError } from "@marigolddrift/store";
 import type { ChangeBatch, StoreChange } from "@marigolddrift/store";
 
-/** Changes that are kept at most. */
+/** Maximum number of buffered changes. */
 const maxChanges = 500;
 
-/** Bytes of them beyond which only the newest is kept: long configurations may follow each other quickly. */
-const maxBytes = 4 * 1024 * 1024;
+/** Limit on the total size of the buffered values, since large configurations may be written in quick succession. */
+const maxTotalBytes = 4 * 1024 * 1024;
 
 const revisionOf = (change: StoreChange): number => change.kind === "put" ? change.stored.revision : change.revision;
 
 const bytesOf = (change: StoreChange): number => change.kind === "put" ? change.stored.value.length : 0;
 
 /**
- * What a {@link Follower} has seen lately.
+ * The recent changes that a {@link PrefixWatcher} has read. The newest change is always kept, whatever its size.
  *
  * @example
  * const { changes, revision } = await feed.next(41, 4_000, progress);
  */
 export class ChangeFeed {
     private changes: StoreChange[] = [];
-    /** All changes after this revision are kept. */
-    private from = Infinity;
+    /** All changes after this revision are buffered. */
+    private compactedRevision = Infinity;
     private revision = -Infinity;
-    private isLost = false;
+    private isDisconnected = false;
     private readonly waiting = new Set<() => void>();
 
-    /** Starts anew from a snapshot. */
+    /** Discards the buffered changes and continues from a snapshot. */
     onSnapshot(revision: number): void {
         this.changes = [];
-        this.from = revision;
+        this.compactedRevision = revision;
         this.revision = revision;
-        this.isLost = false;
-        this.wake();
+        this.isDisconnected = false;
+        this.notifyWaiters();
     }
 
     onChanges(changes: readonly StoreChange[], revision: number): void {
         this.revision = Math.max(this.revision, revision);
-        this.isLost = false;
+        this.isDisconnected = false;
         if (changes.length === 0) {
             return;
         }
         this.changes.push(...changes);
         this.dropOldest();
-        this.wake();
+        this.notifyWaiters();
     }
 
-    /** Ends all waits: the followed part of the store cannot be read now, so that peers must look for another way. */
-    onLost(): void {
-        this.isLost = true;
-        this.wake();
+    /** Ends all waits: the prefix cannot be read from the store now, so peers must read it by another path. */
+    onDisconnected(): void {
+        this.isDisconnected = true;
+        this.notifyWaiters();
     }
 
     /**
-     * Changes after a revision; waits for the first one.
+     * Returns the changes after a revision, and waits for the first one if there are none yet.
      *
-     * @param waitMs Time after which there are none, in milliseconds.
-     * @throws HistoryGoneError if they are not kept.
+     * @param waitMs Time after which an empty batch is returned.
+     * @throws HistoryGoneError if they are no longer buffered.
+     * @throws ProblemError if the store cannot be read now.
      */
     async next(after: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
-        if (this.since(after).length === 0) {
-            await this.nextChange(waitMs, progress);
+        if (this.changesSince(after).length === 0) {
+            await this.waitForChange(waitMs, progress);
         }
-        return { changes: this.since(after), revision: Math.max(after, this.revision) };
+        return { changes: this.changesSince(after), revision: Math.max(after, this.revision) };
     }
 
-    private since(after: number): StoreChange[] {
-        if (this.isLost) {
+    private changesSince(after: number): StoreChange[] {
+        if (this.isDisconnected) {
             throw new ProblemError("not_durable", "notRun", "The store is away from this instance, too.");
         }
-        if (after < this.from) {
+        if (after < this.compactedRevision) {
             throw new HistoryGoneError(after);
         }
         return this.changes.filter(change => revisionOf(change) > after);
@@ -79,19 +80,19 @@
 
     private dropOldest(): void {
         let bytes = 0;
-        let kept = 0;
-        for (let index = this.changes.length - 1; index >= 0 && kept < maxChanges; index--) {
+        let retained = 0;
+        for (let index = this.changes.length - 1; index >= 0 && retained < maxChanges; index--) {
             bytes += bytesOf(this.changes[index]!);
-            if (kept > 0 && bytes > maxBytes) {
+            if (retained > 0 && bytes > maxTotalBytes) {
                 break;
             }
-            kept += 1;
+            retained += 1;
         }
-        const dropped = this.changes.splice(0, this.changes.length - kept);
-        this.from = dropped.length > 0 ? revisionOf(dropped.at(-1)!) : this.from;
+        const dropped = this.changes.splice(0, this.changes.length - retained);
+        this.compactedRevision = dropped.length > 0 ? revisionOf(dropped.at(-1)!) : this.compactedRevision;
     }
 
-    private async nextChange(waitMs: number, progress: Progress): Promise<void> {
+    private async waitForChange(waitMs: number, progress: Progress): Promise<void> {
         let wake: () => void = () => {};
         let timer: NodeJS.Timeout | undefined;
         const woken = new Promise<void>(resolve => {
@@ -108,7 +109,7 @@
         }
     }
 
-    private wake(): void {
+    private notifyWaiters(): void {
         this.waiting.forEach(wake => wake());
     }
 }
--- a/packages/gateway/src/state/follower.ts
+++ b/packages/gateway/src/state/follower.ts
@@ -1,4 +1,4 @@
-/** Follows what lies below a prefix of the platform's store: a snapshot, then its changes. */
+/** Watches a key prefix of the platform's store: reads a snapshot, then polls for changes. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { HistoryGoneError } from "@marigolddrift/store";
@@ -6,58 +6,58 @@
 
 import { ChangeFeed } from "./changeFeed.js";
 
-/** Time that the store may take beyond the wait, in milliseconds. */
-const slackMs = 1_000;
+/** Time that the store may take to respond beyond the requested wait. */
+const responseSlackMs = 1_000;
 
-/** Time for which nothing of a snapshot may arrive, in milliseconds: that of a slow store. */
-const snapshotSilenceMs = 1_500;
+/** Longest pause in the data of a snapshot before the read is aborted; allows for a slow store. */
+const snapshotIdleTimeoutMs = 1_500;
 
-/** Time that a snapshot may take, in milliseconds: a long configuration that a whole region fetches over a narrow link. */
-const snapshotMs = 8_000;
+/** Timeout for a snapshot; allows for a large configuration that a whole region reads over a narrow link. */
+const snapshotTimeoutMs = 8_000;
 
-/** Pause after changes, in milliseconds: those that come together, as at a start of the whole fleet, share an answer. */
-const gatherMs = 150;
+/** Pause after changes, so that changes in quick succession, as when a whole fleet starts, share one response. */
+const coalesceMs = 150;
 
-/** Shortest time for which a question for changes waits, in milliseconds. */
-const minWaitMs = 1_000;
+/** Minimum wait of a long poll for changes. */
+const minPollWaitMs = 1_000;
 
-/** Pause after a failed call, in milliseconds. */
-const retryMs = 150;
+/** Pause after a failed call. */
+const retryDelayMs = 150;
 
-/** What a {@link Follower} tells. */
-export interface FollowerEvents {
-    /** All values; everything that is missing is gone. */
+/** Events of a {@link PrefixWatcher}. */
+export interface PrefixWatcherEvents {
+    /** Receives all values; a key that is missing does not exist any more. */
     onSnapshot(values: readonly StoredValue[]): void;
     onChanges(changes: readonly StoreChange[]): void;
-    onLost(err: Error): void;
-    /** @param awayMs Time for which the store did not answer, in milliseconds. */
-    onRegained(awayMs: number): void;
+    onDisconnected(err: Error): void;
+    /** @param outageMs Time for which the store did not respond. */
+    onReconnected(outageMs: number): void;
 }
 
-/** Keeps a view of a part of the store up to date until it is stopped. */
-export class Follower {
-    private readonly stopped = new AbortController();
+/** Reports the values below a key prefix and their changes until it is stopped. */
+export class PrefixWatcher {
+    private readonly stopController = new AbortController();
     private revision: number | undefined;
     private lastContactAt = performance.now();
-    private isLost = false;
+    private isDisconnected = false;
 
     constructor(
         private readonly store: Pick<VersionedStore, "range" | "changes">,
         private readonly prefix: string,
-        private readonly events: FollowerEvents,
-        /** Longest time for which a silent connection may go unnoticed, in milliseconds. */
-        private readonly silenceMs: number,
+        private readonly events: PrefixWatcherEvents,
+        /** Longest time within which an unresponsive connection must be detected. */
+        private readonly maxSilenceMs: number,
         private readonly log: Logger,
-        /** Gets all that is seen, for peers. */
+        /** Receives all changes, for peers that watch through this instance. */
         private readonly feed = new ChangeFeed(),
     ) {}
 
-    /** Time for which one question for changes waits at the store, in milliseconds. */
+    /** Time for which the store holds a long poll if there are no changes. */
     private get waitMs(): number {
-        return Math.max(minWaitMs, this.silenceMs - slackMs);
+        return Math.max(minPollWaitMs, this.maxSilenceMs - responseSlackMs);
     }
 
-    /** Age of the view, in milliseconds. */
+    /** Time since the last response of the store. */
     get ageMs(): number {
         return performance.now() - this.lastContactAt;
     }
@@ -67,13 +67,13 @@
     }
 
     stop(): void {
-        this.stopped.abort(new Error("the follower was stopped"));
+        this.stopController.abort(new Error("the prefix watcher was stopped"));
     }
 
     private async run(): Promise<void> {
-        while (!this.stopped.signal.aborted) {
+        while (!this.stopController.signal.aborted) {
             try {
-                await this.step();
+                await this.poll();
             }
             catch (err) {
                 await this.onError(asError(err));
@@ -81,11 +81,11 @@
         }
     }
 
-    private async step(): Promise<void> {
-        // A store that may be back answers at once, so that its return is known.
-        const wait = this.isLost ? 0 : this.waitMs;
-        const timeoutMs = this.revision === undefined ? snapshotMs : wait + slackMs;
-        const progress = new Progress(timeoutMs, this.stopped.signal);
+    private async poll(): Promise<void> {
+        // After a failure the poll does not wait, so that the recovery of the store is detected at once.
+        const wait = this.isDisconnected ? 0 : this.waitMs;
+        const timeoutMs = this.revision === undefined ? snapshotTimeoutMs : wait + responseSlackMs;
+        const progress = new Progress(timeoutMs, this.stopController.signal);
         try {
             if (this.revision === undefined) {
                 const snapshot = await this.readSnapshot(progress);
@@ -101,7 +101,7 @@
             this.feed.onChanges(batch.changes, this.revision);
             if (batch.changes.length > 0) {
                 this.events.onChanges(batch.changes);
-                await progress.sleep(gatherMs);
+                await progress.sleep(coalesceMs);
             }
         }
         finally {
@@ -110,42 +110,49 @@
     }
 
     private async readSnapshot(progress: Progress): Promise<Snapshot> {
-        const giveUp = (): void =>
-            progress.abort(new Error(`nothing of the snapshot arrived in ${snapshotSilenceMs} ms`));
-        const silence = setTimeout(giveUp, snapshotSilenceMs);
+        const onIdle = (): void =>
+            progress.abort(new Error(`no data of the snapshot received for ${snapshotIdleTimeoutMs} ms`));
+        const idleTimer = setTimeout(onIdle, snapshotIdleTimeoutMs);
         try {
-            return await progress.race(this.store.range(this.prefix, progress, { onBytes: () => silence.refresh() }));
+            return await progress.race(this.store.range(this.prefix, progress, { onBytes: () => idleTimer.refresh() }));
         }
         finally {
-            clearTimeout(silence);
+            clearTimeout(idleTimer);
         }
     }
 
     private onContact(): void {
-        const awayMs = this.ageMs;
+        const outageMs = this.ageMs;
         this.lastContactAt = performance.now();
-        if (this.isLost) {
-            this.isLost = false;
-            this.log.info("store regained", { prefix: this.prefix, awayMs: Math.round(awayMs) });
-            this.events.onRegained(awayMs);
+        if (this.isDisconnected) {
+            this.isDisconnected = false;
+            this.log.info("store reconnected", { prefix: this.prefix, awayMs: Math.round(outageMs) });
+            this.events.onReconnected(outageMs);
         }
     }
 
     private async onError(err: Error): Promise<void> {
-        if (this.stopped.signal.aborted) {
+        if (this.stopController.signal.aborted) {
             return;
         }
         if (err instanceof HistoryGoneError) {
-            this.log.info("store history gone", { prefix: this.prefix, revision: this.revision });
+            this.log.info("store history compacted; reading a new snapshot", {
+                prefix: this.prefix,
+                revision: this.revision,
+            });
             this.revision = undefined;
             return;
         }
-        if (!this.isLost) {
-            this.isLost = true;
-            this.log.warn("store lost", { prefix: this.prefix, error: err.message, ageMs: Math.round(this.ageMs) });
-            this.feed.onLost();
-            this.events.onLost(err);
+        if (!this.isDisconnected) {
+            this.isDisconnected = true;
+            this.log.warn("store disconnected", {
+                prefix: this.prefix,
+                error: err.message,
+                ageMs: Math.round(this.ageMs),
+            });
+            this.feed.onDisconnected();
+            this.events.onDisconnected(err);
         }
-        await new Promise(resolve => setTimeout(resolve, retryMs));
+        await new Promise(resolve => setTimeout(resolve, retryDelayMs));
     }
 }
--- a/packages/gateway/src/state/groupWriter.ts
+++ b/packages/gateway/src/state/groupWriter.ts
@@ -1,31 +1,31 @@
-/** Writes that wait for the store share its calls. */
+/** Batches conditional writes to the store. */
 import { asError, ProblemError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { StoreRefusalError } from "@marigolddrift/store";
 import type { StoredValue, TxnResult, VersionedStore } from "@marigolddrift/store";
 
-/** Writes that one call carries: the store takes 32 entries a call, and a conditional write is two. */
-const maxGroup = 16;
+/** Maximum number of writes in a batch: the store accepts 32 entries per call, and a conditional write takes two. */
+const maxBatchSize = 16;
 
-/** Calls under way at a time. */
-const maxCalls = 2;
+/** Maximum number of concurrent calls. */
+const maxConcurrentCalls = 2;
 
-/** Time that the store may take for one call, in milliseconds. */
+/** Timeout for a call to the store. */
 const callTimeoutMs = 1_000;
 
-/** Pause after a call that failed, in milliseconds. */
-const retryMs = 100;
+/** Pause after a failed call. */
+const retryDelayMs = 100;
 
-/** Time without an answer after which the store is taken to be away, in milliseconds. */
-const awayAfterMs = 600;
+/** Time without a response after which the store is considered unavailable. */
+const unavailableAfterMs = 600;
 
-/** Time that a call waits beyond that, so that the next one finds the store away, in milliseconds. */
-const patienceSlackMs = 50;
+/** Time that a fail-fast write waits beyond that, so that the next one finds the store unavailable at once. */
+const failFastSlackMs = 50;
 
-/** When callers may come back while the store is away: outages last seconds, and callers have few retries. */
-const awayRetryAfterSeconds = 1.3;
+/** Time after which callers may retry during a store outage: outages last seconds, and callers have few retries. */
+const outageRetryAfterSeconds = 1.3;
 
-/** A value that is written only if its key still has a revision. */
+/** A write that is applied only if the key still has the expected revision. */
 export interface ConditionalPut {
     readonly key: string;
     /** Revision that the key must have; 0 if it must not exist. */
@@ -33,13 +33,13 @@
     readonly value: Buffer;
 }
 
-/** What became of a conditional write. */
+/** Result of a conditional write. */
 export type PutResult =
     | { readonly kind: "written"; readonly revision: number; }
-    /** The key had another revision; `current` is missing if it does not exist. */
+    /** The key had another revision; `current` is missing if the key does not exist. */
     | { readonly kind: "conflict"; readonly current: StoredValue | undefined; };
 
-interface Entry {
+interface PendingWrite {
     readonly put: ConditionalPut;
     readonly progress: Progress;
     settled: boolean;
@@ -48,194 +48,197 @@
 }
 
 /**
- * Groups conditional writes. After an unknown result a write is sent again: a conflict with the very same value means
- * that it had been applied, so every value must be unique.
+ * Sends conditional writes in batches. A write whose result is unknown is sent again: a conflict with an identical
+ * value means that the first attempt was applied, so every value must be unique.
  */
-export class GroupWriter {
-    /** Time of the monotonic clock at which the oldest unanswered call was sent, in milliseconds. */
-    private silentSince: number | undefined;
-    private failing = false;
-    private readonly waiting: Entry[] = [];
+export class BatchWriter {
+    /** Monotonic time at which the first call since the last response was sent. */
+    private unansweredSince: number | undefined;
+    private isFailing = false;
+    private readonly waiting: PendingWrite[] = [];
     private calls = 0;
     private timer: NodeJS.Timeout | undefined;
 
     constructor(
         private readonly store: VersionedStore,
-        private readonly gatherMs: number,
+        private readonly batchDelayMs: number,
         private readonly log: Logger,
     ) {}
 
-    /** Whether the store has not answered writes for a while. */
-    get isAway(): boolean {
-        return this.silentSince !== undefined && performance.now() - this.silentSince > awayAfterMs;
+    /** Whether the store has not responded to writes for longer than the threshold. */
+    get isUnavailable(): boolean {
+        return this.unansweredSince !== undefined && performance.now() - this.unansweredSince > unavailableAfterMs;
     }
 
-    /** Fails with `not_durable` if the store is away and other writes find out when it is back. */
+    /**
+     * Fails with `not_durable` if the store is unavailable and other writes are pending, which detect its recovery.
+     * Without any, the write is allowed, so that it probes the store.
+     */
     checkAvailable(): void {
-        const isAsked = this.calls > 0 || this.waiting.some(({ progress }) => !progress.signal.aborted);
-        if (this.isAway && isAsked) {
-            throw notDurable();
+        const isProbed = this.calls > 0 || this.waiting.some(({ progress }) => !progress.signal.aborted);
+        if (this.isUnavailable && isProbed) {
+            throw notDurableError();
         }
     }
 
-    /** Writes a value; waits no longer than the progress allows, after which the write may still be applied. */
+    /** Writes a value. After the deadline of the progress it no longer waits, but the write may still be applied. */
     async put(put: ConditionalPut, progress: Progress): Promise<PutResult> {
         const result = new Promise<PutResult>((resolve, reject) => {
             this.waiting.push({ put, progress, settled: false, resolve, reject });
         });
-        this.schedule(this.failing ? retryMs : this.gatherMs);
+        this.schedule(this.isFailing ? retryDelayMs : this.batchDelayMs);
         return await progress.race(result);
     }
 
-    /** As {@link put}, for writes without which the call cannot start: gives up as soon as the store is away. */
-    async putSoon(put: ConditionalPut, progress: Progress): Promise<PutResult> {
+    /** Like {@link put}, but fails as soon as the store is unavailable; for writes that must precede a call. */
+    async putFailFast(put: ConditionalPut, progress: Progress): Promise<PutResult> {
         this.checkAvailable();
-        const patience = progress.child(awayAfterMs + patienceSlackMs);
+        const failFast = progress.child(unavailableAfterMs + failFastSlackMs);
         try {
-            return await this.put(put, patience);
+            return await this.put(put, failFast);
         }
         catch (err) {
             progress.check();
-            throw patience.signal.aborted ? notDurable() : err;
+            throw failFast.signal.aborted ? notDurableError() : err;
         }
         finally {
-            patience.dispose();
+            failFast.dispose();
         }
     }
 
     private schedule(afterMs: number): void {
-        if (this.calls >= maxCalls || this.timer !== undefined || this.waiting.length === 0) {
+        if (this.calls >= maxConcurrentCalls || this.timer !== undefined || this.waiting.length === 0) {
             return;
         }
         this.timer = setTimeout(() => {
             this.timer = undefined;
-            const group = this.takeGroup();
-            if (group.length > 0) {
-                void this.sendCounted(group);
+            const batch = this.takeBatch();
+            if (batch.length > 0) {
+                void this.sendBatch(batch);
             }
-            this.schedule(this.gatherMs);
+            this.schedule(this.batchDelayMs);
         }, afterMs);
     }
 
-    /** The next writes, at most one of each key. */
-    private takeGroup(): Entry[] {
+    /** Removes the next writes from the queue, at most one per key. */
+    private takeBatch(): PendingWrite[] {
         const keys = new Set<string>();
-        const group: Entry[] = [];
-        const rest: Entry[] = [];
-        for (const entry of this.waiting.splice(0)) {
-            if (entry.settled || entry.progress.signal.aborted) {
+        const batch: PendingWrite[] = [];
+        const rest: PendingWrite[] = [];
+        for (const write of this.waiting.splice(0)) {
+            if (write.settled || write.progress.signal.aborted) {
                 continue;
             }
-            const fits = group.length < maxGroup && !keys.has(entry.put.key);
-            (fits ? group : rest).push(entry);
+            const fits = batch.length < maxBatchSize && !keys.has(write.put.key);
+            (fits ? batch : rest).push(write);
             if (fits) {
-                keys.add(entry.put.key);
+                keys.add(write.put.key);
             }
         }
         this.waiting.push(...rest);
-        return group;
+        return batch;
     }
 
-    private async sendCounted(group: readonly Entry[]): Promise<void> {
+    private async sendBatch(batch: readonly PendingWrite[]): Promise<void> {
         this.calls += 1;
-        this.silentSince ??= performance.now();
+        this.unansweredSince ??= performance.now();
         try {
-            await this.send(group);
+            await this.send(batch);
         }
         finally {
             this.calls -= 1;
-            this.schedule(this.failing ? retryMs : this.gatherMs);
+            this.schedule(this.isFailing ? retryDelayMs : this.batchDelayMs);
         }
     }
 
-    /** Sends a group once; what is not settled by it waits again. */
-    private async send(group: readonly Entry[]): Promise<void> {
-        if (group.length === 0) {
+    /** Sends a batch once; writes that it does not settle are queued again. */
+    private async send(batch: readonly PendingWrite[]): Promise<void> {
+        if (batch.length === 0) {
             return;
         }
         const progress = new Progress(callTimeoutMs);
         try {
-            const compares = group.map(({ put }) => ({ key: put.key, revision: put.expected }));
-            const puts = group.map(({ put }) => ({ key: put.key, value: put.value }));
+            const compares = batch.map(({ put }) => ({ key: put.key, revision: put.expected }));
+            const puts = batch.map(({ put }) => ({ key: put.key, value: put.value }));
             const result = await progress.race(this.store.txn(compares, puts, progress));
             this.onAnswered();
-            this.settle(group, result);
+            this.settle(batch, result);
         }
         catch (err) {
-            this.onFailed(group, asError(err));
+            this.onFailed(batch, asError(err));
         }
         finally {
             progress.dispose();
         }
     }
 
-    private settle(group: readonly Entry[], result: TxnResult): void {
+    private settle(batch: readonly PendingWrite[], result: TxnResult): void {
         const current = new Map((result.current ?? []).map(stored => [stored.key, stored]));
-        for (const entry of group.filter(({ settled }) => !settled)) {
+        for (const write of batch.filter(({ settled }) => !settled)) {
             if (result.succeeded) {
-                finish(entry, { kind: "written", revision: result.revision });
+                resolveWrite(write, { kind: "written", revision: result.revision });
             }
             else {
-                this.settleConflict(entry, current.get(entry.put.key));
+                this.settleConflict(write, current.get(write.put.key));
             }
         }
     }
 
-    /** One failed condition fails a whole group: those whose own condition holds are sent again. */
-    private settleConflict(entry: Entry, stored: StoredValue | undefined): void {
-        if ((stored?.revision ?? 0) === entry.put.expected) {
-            this.waiting.push(entry);
+    /** One failed condition fails the whole batch, so writes whose own condition holds are sent again. */
+    private settleConflict(write: PendingWrite, stored: StoredValue | undefined): void {
+        if ((stored?.revision ?? 0) === write.put.expected) {
+            this.waiting.push(write);
         }
-        else if (stored?.value.equals(entry.put.value)) {
-            finish(entry, { kind: "written", revision: stored.revision });
+        else if (stored?.value.equals(write.put.value)) {
+            resolveWrite(write, { kind: "written", revision: stored.revision });
         }
         else {
-            finish(entry, { kind: "conflict", current: stored });
+            resolveWrite(write, { kind: "conflict", current: stored });
         }
     }
 
     private onAnswered(): void {
-        if (this.failing) {
-            const awayMs = Math.round(performance.now() - (this.silentSince ?? performance.now()));
-            this.log.info("store writes regained", { awayMs });
+        if (this.isFailing) {
+            const outageMs = Math.round(performance.now() - (this.unansweredSince ?? performance.now()));
+            this.log.info("store writes regained", { awayMs: outageMs });
         }
-        this.failing = false;
-        this.silentSince = undefined;
+        this.isFailing = false;
+        this.unansweredSince = undefined;
     }
 
-    private onFailed(group: readonly Entry[], err: Error): void {
-        const open = group.filter(({ settled }) => !settled);
+    private onFailed(batch: readonly PendingWrite[], err: Error): void {
+        const unsettled = batch.filter(({ settled }) => !settled);
         if (err instanceof StoreRefusalError && !err.isBusy) {
-            this.onNotAcceptable(open, err);
+            this.onRejected(unsettled, err);
             return;
         }
-        if (!this.failing) {
-            this.log.warn("store writes lost", { error: err.message, writes: open.length });
+        if (!this.isFailing) {
+            this.log.warn("store writes lost", { error: err.message, writes: unsettled.length });
         }
-        this.failing = true;
-        this.waiting.unshift(...open);
+        this.isFailing = true;
+        this.waiting.unshift(...unsettled);
     }
 
-    /** One write that the store does not accept must not hold up the others. */
-    private onNotAcceptable(open: readonly Entry[], err: StoreRefusalError): void {
-        this.silentSince = undefined;
-        this.log.error("store write not accepted", { error: err.message, keys: open.map(({ put }) => put.key) });
-        if (open.length === 1) {
-            open[0]!.settled = true;
-            open[0]!.reject(err);
+    /** Sends the writes of a rejected batch one by one, so that an invalid write does not block the others. */
+    private onRejected(unsettled: readonly PendingWrite[], err: StoreRefusalError): void {
+        this.unansweredSince = undefined;
+        this.log.error("store write rejected", { error: err.message, keys: unsettled.map(({ put }) => put.key) });
+        if (unsettled.length === 1) {
+            unsettled[0]!.settled = true;
+            unsettled[0]!.reject(err);
             return;
         }
-        open.forEach(entry => void this.send([entry]));
+        unsettled.forEach(write => void this.send([write]));
     }
 }
 
-const finish = (entry: Entry, result: PutResult): void => {
-    entry.settled = true;
-    entry.resolve(result);
+const resolveWrite = (write: PendingWrite, result: PutResult): void => {
+    write.settled = true;
+    write.resolve(result);
 };
 
-/** The error of a call that needs a durable record while the store is away. */
-export const notDurable = (): ProblemError =>
+/** The error of a call that needs a durable record while the store is unavailable. */
+export const notDurableError = (): ProblemError =>
     new ProblemError("not_durable", "notRun", "The store is away, and the call needs a durable record first.", {
-        retryAfterSeconds: awayRetryAfterSeconds,
+        retryAfterSeconds: outageRetryAfterSeconds,
     });
--- a/packages/gateway/src/state/regionReads.ts
+++ b/packages/gateway/src/state/regionReads.ts
@@ -1,6 +1,7 @@
 /**
- * Follows the store through a few instances of the region. Load pattern: a change that dozens of instances wait for, such as a
- * configuration of many routes, which each of them would otherwise fetch over the narrow link between regions.
+ * Reads changes of the store through a few instances of the region. Load pattern: a change that dozens of instances
+ * wait for, such as a configuration with many routes, which each of them would otherwise read over the narrow link
+ * between regions.
  */
 import { asError, ProblemError, rendezvous } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
@@ -13,39 +14,42 @@
 import type { Peers } from "../peers/peers.js";
 import type { ChangeFeed } from "./changeFeed.js";
 
-/** Instances of a region that follow the store themselves: all are asked at once, as some may be cut off without a sign. */
-const leaders = 3;
+/** Number of leaders per region. All are asked at once, since some may have lost their connection unnoticed. */
+const leaderCount = 3;
 
-/** Size from which on changes are compressed between instances, in bytes. */
-const compressedFromBytes = 16 * 1024;
+/** Minimum size of changes that are compressed between instances. */
+const compressionThresholdBytes = 16 * 1024;
 
-/** Time that a peer may take beyond the wait, in milliseconds. */
-const slackMs = 400;
+/** Time that a peer may take to respond beyond the requested wait. */
+const peerSlackMs = 400;
 
-/** Time that the store may take for an answer without a wait, in milliseconds. */
-const answerMs = 900;
+/** Time reserved for the store's response to a read that does not wait. */
+const storeResponseMs = 900;
 
-/** Fastest level: the text of a configuration repeats itself. */
+/** The fastest level suffices, since the text of a configuration is repetitive. */
 const compressionLevel = 1;
 
-type Packed = Omit<FollowedBatch, "revision">;
+type PackedChanges = Omit<FollowedBatch, "revision">;
 
-/** The calls that a {@link Follower} makes, for one prefix. */
-export class RegionReads implements Pick<VersionedStore, "range" | "changes"> {
+/**
+ * The store reads of a {@link PrefixWatcher} for one key prefix. Changes are read from the region's leaders, the
+ * instances that read the store directly; from the store if this instance is a leader or no leader responds.
+ */
+export class RegionalStoreReader implements Pick<VersionedStore, "range" | "changes"> {
     private isLeader = true;
-    /** The last batch as it was sent, since all peers wait for the same one. */
-    private lastSent: { readonly key: string; readonly packed: Packed; } | undefined;
+    /** The last encoded batch, since all peers wait for the same one. */
+    private lastPacked: { readonly key: string; readonly packed: PackedChanges; } | undefined;
 
     constructor(
-        private readonly self: PeerSelf,
+        private readonly localPeer: PeerSelf,
         private readonly store: VersionedStore,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly feed: ChangeFeed,
         private readonly log: Logger,
     ) {}
 
-    /** Whether this instance asks the store itself. */
-    get followsDirectly(): boolean {
+    /** Whether this instance reads from the store directly. */
+    get readsDirectly(): boolean {
         return this.isLeader;
     }
 
@@ -54,71 +58,75 @@
     }
 
     async changes(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
-        const leading = waitMs > 0 ? this.findLeaders(prefix) : [];
-        this.isLeader = leading.length === 0;
+        const leaders = waitMs > 0 ? this.findLeaders(prefix) : [];
+        this.isLeader = leaders.length === 0;
         if (!this.isLeader) {
             try {
-                return await this.askAll(leading, prefix, revision, waitMs, progress);
+                return await this.readFromAnyPeer(leaders, prefix, revision, waitMs, progress);
             }
             catch (err) {
                 progress.check();
                 const reason = asError(err instanceof AggregateError ? err.errors[0] : err).message;
-                this.log.info("followed without peers", { prefix, revision, reason });
+                this.log.info("store followed directly, without peers", {
+                    prefix,
+                    revision,
+                    reason,
+                });
                 this.isLeader = true;
             }
         }
-        const leftMs = Math.max(0, progress.leftMs - answerMs);
+        const leftMs = Math.max(0, progress.leftMs - storeResponseMs);
         return await this.store.changes(prefix, revision, Math.min(waitMs, leftMs), progress);
     }
 
-    /** Answers a peer that follows through this instance. */
-    async answer(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<FollowedBatch> {
+    /** Answers a peer that reads changes through this instance. */
+    async answerPeer(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<FollowedBatch> {
         if (!this.isLeader) {
             throw new ProblemError("not_durable", "notRun", "This instance does not follow the store itself.");
         }
-        const { changes, revision: reached } = await this.feed.next(revision, waitMs, progress);
-        return { ...this.pack(changes), revision: reached };
+        const { changes, revision: lastRevision } = await this.feed.next(revision, waitMs, progress);
+        return { ...this.packCached(changes), revision: lastRevision };
     }
 
-    private pack(changes: readonly StoreChange[]): Packed {
+    private packCached(changes: readonly StoreChange[]): PackedChanges {
         const revisions = changes.map(change => change.kind === "put" ? change.stored.revision : change.revision);
         const key = revisions.join();
-        if (this.lastSent?.key !== key) {
-            this.lastSent = { key, packed: pack(changes) };
+        if (this.lastPacked?.key !== key) {
+            this.lastPacked = { key, packed: pack(changes) };
         }
-        return this.lastSent.packed;
+        return this.lastPacked.packed;
     }
 
-    /** The first peer that has changes, or has waited for the whole time without one. */
-    private async askAll(
-        asked: readonly PeerClient[],
+    /** Asks all leaders and returns the first reply: a batch of changes, or an empty one after the whole wait. */
+    private async readFromAnyPeer(
+        leaders: readonly PeerClient[],
         prefix: string,
         revision: number,
         waitMs: number,
         progress: Progress,
     ): Promise<ChangeBatch> {
-        const own = progress.child(waitMs + slackMs);
+        const attempt = progress.child(waitMs + peerSlackMs);
         try {
-            const question = { kind: "followed" as const, prefix, revision, waitMs };
-            return unpack(await Promise.any(asked.map(peer => peer.ask(question, own))));
+            const request = { kind: "followed" as const, prefix, revision, waitMs };
+            return unpack(await Promise.any(leaders.map(peer => peer.ask(request, attempt))));
         }
         finally {
-            own.abort(new Error("the question was answered by another peer"));
+            attempt.abort(new Error("the question was answered by another peer"));
         }
     }
 
-    /** Peers that follow the store for the region; none if this instance is one of them. */
+    /** Returns the peers that read the store for the region; none if this instance is one of them. */
     private findLeaders(prefix: string): PeerClient[] {
-        const connected = this.peers.usableInRegion(this.self.region).filter(({ isConnected }) => isConnected);
+        const connected = this.peers.usableInRegion(this.localPeer.region).filter(({ isConnected }) => isConnected);
         const byName = new Map(connected.map(peer => [peer.name, peer]));
-        const names = rendezvous(prefix, [this.self.address(), ...byName.keys()]).slice(0, leaders);
-        return names.includes(this.self.address()) ? [] : names.map(name => byName.get(name)!);
+        const names = rendezvous(prefix, [this.localPeer.address(), ...byName.keys()]).slice(0, leaderCount);
+        return names.includes(this.localPeer.address()) ? [] : names.map(name => byName.get(name)!);
     }
 }
 
-const pack = (changes: readonly StoreChange[]): Packed => {
+const pack = (changes: readonly StoreChange[]): PackedChanges => {
     const bytes = packChanges(changes);
-    return bytes.length < compressedFromBytes ?
+    return bytes.length < compressionThresholdBytes ?
         { changes: bytes, isCompressed: false } :
         { changes: deflateRawSync(bytes, { level: compressionLevel }), isCompressed: true };
 };
--- a/packages/gateway/src/turns/storeArchive.ts
+++ b/packages/gateway/src/turns/storeArchive.ts
@@ -3,7 +3,7 @@
 import type { Logger, Progress } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
 
-import type { GroupWriter } from "../state/groupWriter.js";
+import type { BatchWriter } from "../state/groupWriter.js";
 import { RecordRemover } from "./recordRemover.js";
 import { packTurn, unpackTurn } from "./turnRecord.js";
 import type { TurnRecord } from "./turnRecord.js";
@@ -27,7 +27,7 @@
 
     constructor(
         private readonly store: VersionedStore,
-        private readonly writer: GroupWriter,
+        private readonly writer: BatchWriter,
         private readonly log: Logger,
     ) {
         this.remover = new RecordRemover(store, log);
--- a/packages/gateway/src/upstreams/attempt.ts
+++ b/packages/gateway/src/upstreams/attempt.ts
@@ -1,42 +1,42 @@
-/** One attempt at a call on one upstream. */
+/** A single attempt to run a call on an upstream. */
 import type { Progress } from "@marigolddrift/common";
 
 import type { CallProtocol, ReplyHead } from "../protocol.js";
-import { judgeReply } from "./replyCheck.js";
+import { classifyReply } from "./replyCheck.js";
 import type { OutgoingCall, ReplyListener, RunningCall } from "./upstreamConnections.js";
 import type { Upstream } from "./upstreams.js";
 
 /** How an attempt ended. */
-export type AttemptEnd =
+export type AttemptResult =
     | { readonly kind: "complete"; }
     /** The upstream did not run the call. */
     | { readonly kind: "notRun"; readonly detail: string; readonly unreachable: boolean; }
-    /** The call may have run, and there is no whole answer. */
+    /** The call may have run, and there is no complete reply. */
     | { readonly kind: "broken"; readonly detail: string; };
 
-/** Takes an answer that was checked. */
-export interface AnswerSink {
+/** Receives a reply that has been found to belong to the call. */
+export interface ResponseSink {
     onHead(head: ReplyHead): void;
     onData(chunk: Buffer): void;
 }
 
-/** Sends a call and passes its answer to a sink. */
+/** Sends a call to an upstream and writes the reply to a sink. */
 export const attemptCall = (
     upstream: Upstream,
     call: OutgoingCall,
     callId: string,
     protocol: CallProtocol,
-    sink: AnswerSink,
+    sink: ResponseSink,
     progress: Progress,
-): Promise<AttemptEnd> =>
+): Promise<AttemptResult> =>
     new Promise(resolve => {
-        const running: { call?: RunningCall; } = {};
-        const onAbort = (): void => running.call?.abort(progress.signal.reason as Error);
-        const finish = (end: AttemptEnd): void => {
+        const active: { call?: RunningCall; } = {};
+        const onAbort = (): void => active.call?.abort(progress.signal.reason as Error);
+        const finish = (result: AttemptResult): void => {
             progress.signal.removeEventListener("abort", onAbort);
-            resolve(end);
+            resolve(result);
         };
-        running.call = upstream.connections.send(call, new AttemptListener(callId, protocol, sink, finish));
+        active.call = upstream.connections.send(call, new AttemptListener(callId, protocol, sink, finish));
         progress.signal.addEventListener("abort", onAbort, { once: true });
         if (progress.signal.aborted) {
             onAbort();
@@ -44,23 +44,23 @@
     });
 
 class AttemptListener implements ReplyListener {
-    private refusal: AttemptEnd | undefined;
+    private refusal: AttemptResult | undefined;
 
     constructor(
         private readonly callId: string,
         private readonly protocol: CallProtocol,
-        private readonly sink: AnswerSink,
-        private readonly finish: (end: AttemptEnd) => void,
+        private readonly sink: ResponseSink,
+        private readonly finish: (result: AttemptResult) => void,
     ) {}
 
     onHead(status: number, rawHeaders: string[]): boolean {
-        const head = this.protocol.readReply(status, rawHeaders);
-        const meaning = judgeReply(head, this.callId);
-        if (meaning === "answer") {
+        const head = this.protocol.parseReply(status, rawHeaders);
+        const replyKind = classifyReply(head, this.callId);
+        if (replyKind === "answer") {
             this.sink.onHead(head);
             return true;
         }
-        if (meaning === "notRun") {
+        if (replyKind === "notRun") {
             this.refusal = {
                 kind: "notRun",
                 detail: `the upstream refused with ${status}`,
--- a/packages/gateway/src/upstreams/eventCollector.ts
+++ b/packages/gateway/src/upstreams/eventCollector.ts
@@ -1,10 +1,10 @@
-/** Counts the events of a stream and collects their data, beside the bytes that are passed on unchanged. */
+/** Counts the events of an event stream and collects their data, while the stream itself is forwarded unchanged. */
 import { createParser } from "eventsource-parser";
 
-/** Bytes are kept as they are: each becomes one character and back. */
+/** Maps each byte to one character and back, so that the data is preserved byte for byte. */
 const byteEncoding = "latin1";
 
-/** Reads a stream of events. */
+/** Parses an event stream. */
 export class EventCollector {
     events = 0;
     private readonly data: string[] = [];
@@ -19,7 +19,7 @@
         this.parser.feed(chunk.toString(byteEncoding));
     }
 
-    /** Data of the events, each with a line feed. */
+    /** Returns the data of all events, each followed by a line feed. */
     output(): Buffer {
         return Buffer.from(this.data.map(text => `${text}\n`).join(""), byteEncoding);
     }
--- a/packages/gateway/src/upstreams/replyCheck.ts
+++ b/packages/gateway/src/upstreams/replyCheck.ts
@@ -1,21 +1,25 @@
-/** Decides what a reply's head means for the call that waits for it. */
+/** Classifies an upstream's reply by its status and headers. */
 import type { ReplyHead } from "../protocol.js";
 
-export type ReplyMeaning =
-    /** It answers the call and may be passed on. */
+export type ReplyKind =
+    /** The reply answers the call and may be forwarded. */
     | "answer"
     /** The upstream did not run the call. */
     | "notRun"
-    /** It belongs to another call, is not whole, or may not be passed on: the call may have run. */
+    /**
+     * The reply belongs to another call, is incomplete (a success without call id or signature), or may not be
+     * forwarded: the call may have run.
+     */
     | "unusable";
 
 /**
- * Faulty upstreams send extra or late replies on kept connections, and statuses that would promise a caller too much.
+ * Classifies a reply. Faulty upstreams send surplus or late replies on keep-alive connections, or a status that tells
+ * the caller that the call has not run although it may have.
  *
  * @example
- * judgeReply(head, "9c41d07be2a35f68") === "answer";
+ * classifyReply(head, "9c41d07be2a35f68") === "answer";
  */
-export const judgeReply = (head: ReplyHead, callId: string): ReplyMeaning => {
+export const classifyReply = (head: ReplyHead, callId: string): ReplyKind => {
     if (head.callId !== undefined && head.callId !== callId) {
         return "unusable";
     }
--- a/packages/gateway/src/upstreams/sharedLoad.ts
+++ b/packages/gateway/src/upstreams/sharedLoad.ts
@@ -1,4 +1,4 @@
-/** Shares with the other instances of the region what each has under way on the upstreams. */
+/** Exchanges the number of calls in flight on each upstream with the other instances of the region. */
 import { asError, Progress, rendezvous } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { LoadBoard } from "@marigolddrift/policy";
@@ -8,49 +8,52 @@
 import type { PeerSelf } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 
-/** Period of the reports, in milliseconds: about the time in which a busy region places one call on each upstream. */
-const reportMs = 200;
+/** Interval between reports: about the time in which a busy region places one call on each upstream. */
+const reportIntervalMs = 200;
 
-/** Time for which an instance without calls goes on reporting, in milliseconds. */
-const idleAfterMs = 2_000;
+/** Time for which an instance without calls continues to report. */
+const idleReportingMs = 2_000;
 
-/** Time that the instance with the board may take, in milliseconds. */
-const askTimeoutMs = 400;
+/** Timeout for a report to the aggregator. */
+const reportTimeoutMs = 400;
 
-/** Key by which the instances of a region agree on the one with the board. */
-const boardKey = "load board";
+/** Key for the rendezvous hash by which the instances of a region agree on the aggregator. */
+const aggregatorKey = "load board";
 
-/** What other instances have on an upstream. */
-export interface OthersLoad {
+/** Calls of the other instances on an upstream. */
+export interface PeerLoad {
     readonly calls: number;
     readonly ageMs: number;
 }
 
-/** Reports the own load, and knows that of the others as of the last report. Nothing is promised by it: it may be missing. */
-export class SharedLoad {
+/**
+ * Reports the load of this instance to the region's aggregator, which replies with the load of all other instances.
+ * Best effort: the load of the others may be missing or out of date.
+ */
+export class LoadExchange {
     private readonly board = new LoadBoard();
-    private others: WorkerLoad = {};
-    private readAt = -Infinity;
+    private peerLoads: WorkerLoad = {};
+    private updatedAt = -Infinity;
     private lastBusyAt = -Infinity;
-    private asking = false;
-    private boardAt: string | undefined;
+    private isReporting = false;
+    private aggregatorName: string | undefined;
     private readonly timer: NodeJS.Timeout;
 
     constructor(
-        private readonly self: PeerSelf,
+        private readonly localPeer: PeerSelf,
         private readonly peers: Pick<Peers, "usableInRegion">,
-        private readonly ownLoad: () => WorkerLoad,
+        private readonly localLoad: () => WorkerLoad,
         private readonly log: Logger,
     ) {
-        this.timer = setInterval(() => void this.share(), reportMs);
+        this.timer = setInterval(() => void this.reportLoad(), reportIntervalMs);
     }
 
-    /** Calls of the other instances on an upstream. */
-    on(upstream: string): OthersLoad {
-        return { calls: this.others[upstream] ?? 0, ageMs: performance.now() - this.readAt };
+    /** Returns the last known load of the other instances on an upstream. */
+    peerLoadOf(upstream: string): PeerLoad {
+        return { calls: this.peerLoads[upstream] ?? 0, ageMs: performance.now() - this.updatedAt };
     }
 
-    /** Takes the report of a peer, and answers with the load of all others. */
+    /** Records the report of an instance and returns the load of all others. */
     onReport(instance: string, load: WorkerLoad): WorkerLoad {
         const now = performance.now();
         this.board.report(instance, load, now);
@@ -61,50 +64,52 @@
         clearInterval(this.timer);
     }
 
-    private async share(): Promise<void> {
-        const load = this.ownLoad();
+    private async reportLoad(): Promise<void> {
+        const load = this.localLoad();
         const now = performance.now();
         if (Object.keys(load).length > 0) {
             this.lastBusyAt = now;
         }
-        if (this.asking || now - this.lastBusyAt > idleAfterMs) {
+        if (this.isReporting || now - this.lastBusyAt > idleReportingMs) {
             return;
         }
-        const holder = this.findBoard();
-        if (holder === undefined) {
-            this.accept(this.onReport(this.self.instance, load));
+        const aggregator = this.findAggregator();
+        if (aggregator === undefined) {
+            this.setPeerLoads(this.onReport(this.localPeer.instance, load));
             return;
         }
-        await this.ask(holder, load);
+        await this.reportTo(aggregator, load);
     }
 
-    private async ask(holder: PeerClient, load: WorkerLoad): Promise<void> {
-        this.asking = true;
-        const progress = new Progress(askTimeoutMs);
+    private async reportTo(aggregator: PeerClient, load: WorkerLoad): Promise<void> {
+        this.isReporting = true;
+        const progress = new Progress(reportTimeoutMs);
         try {
-            this.accept(await holder.ask({ kind: "shareLoad", instance: this.self.instance, load }, progress));
+            this.setPeerLoads(
+                await aggregator.ask({ kind: "shareLoad", instance: this.localPeer.instance, load }, progress),
+            );
         }
         catch (err) {
-            this.log.info("load not shared", { peer: holder.address.instance, error: asError(err).message });
+            this.log.info("load report failed", { peer: aggregator.address.instance, error: asError(err).message });
         }
         finally {
             progress.dispose();
-            this.asking = false;
+            this.isReporting = false;
         }
     }
 
-    private accept(others: WorkerLoad): void {
-        this.others = others;
-        this.readAt = performance.now();
+    private setPeerLoads(loads: WorkerLoad): void {
+        this.peerLoads = loads;
+        this.updatedAt = performance.now();
     }
 
-    /** The peer with the board; undefined if it is this instance. */
-    private findBoard(): PeerClient | undefined {
-        const fronts = this.peers.usableInRegion(this.self.region).filter(({ isConnected }) => isConnected);
-        const peers = new Map(fronts.map(peer => [peer.name, peer]));
-        const [name] = rendezvous(boardKey, [this.self.address(), ...peers.keys()]);
-        if (name !== this.boardAt) {
-            this.boardAt = name;
+    /** Returns the peer that aggregates the region's load; undefined if this instance does. */
+    private findAggregator(): PeerClient | undefined {
+        const connected = this.peers.usableInRegion(this.localPeer.region).filter(({ isConnected }) => isConnected);
+        const peers = new Map(connected.map(peer => [peer.name, peer]));
+        const [name] = rendezvous(aggregatorKey, [this.localPeer.address(), ...peers.keys()]);
+        if (name !== this.aggregatorName) {
+            this.aggregatorName = name;
             this.log.info("load board", { at: name, peers: peers.size });
         }
         return peers.get(name!);
--- a/packages/gateway/src/upstreams/upstreamConnections.ts
+++ b/packages/gateway/src/upstreams/upstreamConnections.ts
@@ -1,62 +1,62 @@
-/** Kept connections to one upstream, and the calls on them. */
+/** Keep-alive connections to an upstream, and the calls on them. */
 import { buildConnector, Pool } from "undici";
 import type { Dispatcher as HttpDispatcher } from "undici";
 
-/** Time to set up a connection, in milliseconds. */
+/** Timeout for establishing a connection. */
 const connectTimeoutMs = 400;
 
-/** Time for which an idle connection is kept if the upstream does not say, in milliseconds. */
-const idleMs = 8_000;
+/** Time for which an idle connection is kept open if the upstream does not specify one. */
+const defaultKeepAliveMs = 8_000;
 
-/** A call as it is sent. */
+/** A call as it is sent to an upstream. */
 export interface OutgoingCall {
     readonly method: string;
     readonly path: string;
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer | undefined;
 }
 
-/** Receives a reply piece by piece. */
+/** Receives the parts of a reply as they arrive. */
 export interface ReplyListener {
-    /** Returns false to break the reply off. */
+    /** Returns false to abort the reply. */
     onHead(status: number, rawHeaders: string[]): boolean;
     onData(chunk: Buffer): void;
-    /** The whole reply has arrived. */
+    /** The complete reply has arrived. */
     onEnd(): void;
-    /** @param sent Whether any of the call may have reached the upstream. */
+    /** @param sent Whether any part of the call may have reached the upstream. */
     onError(err: Error, sent: boolean): void;
 }
 
-/** A call under way. */
+/** A call in progress. */
 export interface RunningCall {
     abort(reason: Error): void;
 }
 
-/** Whether the socket that is being handled right now ends, while its listeners run. */
+/** Set while the listeners of a socket's end or error event run. */
 interface SocketEnd {
     isEnding: boolean;
 }
 
 /**
- * Opens connections whose ends are known before the HTTP client sees them: it takes whatever has arrived of a reply that
- * is to end with its connection for the whole reply, also after a crash of the upstream.
+ * Creates a connector that records the end of a connection before the HTTP client handles it. If a reply is delimited
+ * by the end of its connection, the client treats whatever has arrived as complete, also after the upstream crashed.
  */
-const watchEnds = (end: SocketEnd): buildConnector.connector => {
+const trackSocketEnds = (end: SocketEnd): buildConnector.connector => {
     const connect = buildConnector({ timeout: connectTimeoutMs });
-    const mark = (): void => {
+    const markEnding = (): void => {
         end.isEnding = true;
         queueMicrotask(() => end.isEnding = false);
     };
     return (options, callback) =>
         connect(options, (...args) => {
-            args[1]?.on("end", mark);
-            args[1]?.on("error", mark);
+            args[1]?.on("end", markEnding);
+            args[1]?.on("error", markEnding);
             callback(...args);
         });
 };
 
-/** A pool of connections that carry one call at a time each. */
+/** A pool of connections, each of which carries one call at a time. */
 export class UpstreamConnections {
     private readonly pool: Pool;
     private readonly socketEnd: SocketEnd = { isEnding: false };
@@ -65,10 +65,10 @@
         this.pool = new Pool(`http://${address}`, {
             connections,
             pipelining: 1,
-            connect: watchEnds(this.socketEnd),
+            connect: trackSocketEnds(this.socketEnd),
             headersTimeout: 0,
             bodyTimeout: 0,
-            keepAliveTimeout: idleMs,
+            keepAliveTimeout: defaultKeepAliveMs,
             keepAliveTimeoutThreshold: 1_000,
         });
     }
@@ -84,21 +84,21 @@
         return handler;
     }
 
-    /** Closes the connections once their calls have ended. */
+    /** Closes the connections after their calls have ended. */
     closeWhenIdle(): void {
         void this.pool.close().catch(() => {
-            // It was closed before; there is nothing left to close.
+            // The pool was already closed.
         });
     }
 
     close(): void {
         void this.pool.destroy().catch(() => {
-            // It was closed before; there is nothing left to close.
+            // The pool was already closed.
         });
     }
 }
 
-/** Turns the client's callbacks into those of a {@link ReplyListener}, each end at most once. */
+/** Forwards the HTTP client's callbacks to a {@link ReplyListener}, and signals the end or an error only once. */
 class ReplyHandler implements HttpDispatcher.DispatchHandler, RunningCall {
     private controller: HttpDispatcher.DispatchController | undefined;
     private abortReason: Error | undefined;
@@ -110,7 +110,7 @@
         this.abortReason ??= reason;
         this.controller?.abort(reason);
         if (this.controller === undefined) {
-            this.end(() => this.listener.onError(reason, false));
+            this.endOnce(() => this.listener.onError(reason, false));
         }
     }
 
@@ -129,7 +129,7 @@
         const raw = (controller.rawHeaders ?? []) as readonly (Buffer | string)[];
         const headers = raw.map(value => typeof value === "string" ? value : value.toString("latin1"));
         if (!this.listener.onHead(status, headers)) {
-            this.abort(new Error("the reply was refused"));
+            this.abort(new Error("the reply was refused by its listener"));
         }
     }
 
@@ -139,23 +139,23 @@
         }
     }
 
-    /** A reply that shows its end only by its connection's cannot be told from one that a crash cut off. */
+    /** A reply delimited by the end of its connection cannot be distinguished from one that a crash truncated. */
     onResponseEnd(): void {
         if (this.socketEnd.isEnding) {
-            this.end(() => this.listener.onError(new Error("the connection ended before the reply did"), true));
+            this.endOnce(() => this.listener.onError(new Error("the connection ended before the reply did"), true));
             return;
         }
-        this.end(() => this.listener.onEnd());
+        this.endOnce(() => this.listener.onEnd());
     }
 
     onResponseError(_: HttpDispatcher.DispatchController | undefined, err: Error): void {
-        this.end(() => this.listener.onError(this.abortReason ?? err, this.controller !== undefined));
+        this.endOnce(() => this.listener.onError(this.abortReason ?? err, this.controller !== undefined));
     }
 
-    private end(action: () => void): void {
+    private endOnce(notify: () => void): void {
         if (!this.ended) {
             this.ended = true;
-            action();
+            notify();
         }
     }
 }
--- a/packages/gateway/src/upstreams/upstreamEntry.ts
+++ b/packages/gateway/src/upstreams/upstreamEntry.ts
@@ -1,16 +1,16 @@
-/** What an upstream says of itself. */
+/** The registration of an upstream in the store. */
 
 /** One running process of an upstream. */
 export interface UpstreamEntry {
-    /** Id of this process; a restart mostly brings a new one. */
+    /** Id of this process; usually changes with a restart. */
     readonly id: string;
-    /** Time at which it started, in epoch milliseconds; tells processes with the same id apart. */
+    /** Start time in epoch milliseconds; distinguishes processes with the same id. */
     readonly startedAt: number | undefined;
     readonly service: string;
     /** Host and port. */
     readonly address: string;
     readonly zone: string;
-    /** Requests that it runs at a time. */
+    /** Number of requests that it runs concurrently. */
     readonly slots: number;
     readonly draining: boolean;
 }
--- a/packages/gateway/src/upstreams/upstreams.ts
+++ b/packages/gateway/src/upstreams/upstreams.ts
@@ -1,54 +1,56 @@
-/** The upstreams that are known, and how busy they are with this instance's calls. */
+/** Registry of the known upstreams and of this instance's calls on them. */
 import type { Logger } from "@marigolddrift/common";
 
 import type { RouteTable } from "../routes.js";
 import { UpstreamConnections } from "./upstreamConnections.js";
 import type { UpstreamEntry } from "./upstreamEntry.js";
 
-/** Time for which an upstream that fails to connect is set aside, in milliseconds. */
-const setAsideMs = 1_000;
+/** Time for which an unreachable upstream receives no calls. */
+const ejectionMs = 1_000;
 
-/** Time after a store outage for which a missing upstream may still come back, in milliseconds. */
-const returnGraceMs = 2_200;
+/** Time within which an upstream whose entry expired during a store outage may register again. */
+const missingGraceMs = 2_200;
 
-/** Rate at which the observed duration of calls is followed. */
-const learningRate = 0.1;
+/** Weight of a new measurement in the moving average of the duration of calls. */
+const durationSmoothing = 0.1;
 
-/** One upstream. */
+/** A known upstream and its load from this instance. */
 export class Upstream {
     inFlight = 0;
-    /** Time of the monotonic clock until which it gets no calls, in milliseconds. */
-    asideUntil = 0;
-    /** Missing from the store since a time of the monotonic clock. */
+    /** Monotonic time until which it receives no calls. */
+    ejectedUntil = 0;
+    /** Monotonic time since which its entry has been missing from the store. */
     missingSince: number | undefined;
-    /** Observed duration of a call beside others, in milliseconds. */
+    /** Moving average of the duration of calls, which run concurrently with others; undefined before the first one. */
     meanCallMs: number | undefined;
 
     constructor(public entry: UpstreamEntry, readonly connections: UpstreamConnections) {}
 
-    mayServe(now: number): boolean {
-        return !this.entry.draining && this.missingSince === undefined && now >= this.asideUntil;
+    isAvailable(now: number): boolean {
+        return !this.entry.draining && this.missingSince === undefined && now >= this.ejectedUntil;
     }
 
-    /** Notes how long a call took. */
-    onServed(ms: number): void {
-        this.meanCallMs = this.meanCallMs === undefined ? ms : this.meanCallMs + learningRate * (ms - this.meanCallMs);
+    /** Adds the duration of a call to the moving average. */
+    recordDuration(ms: number): void {
+        this.meanCallMs = this.meanCallMs === undefined ?
+            ms :
+            this.meanCallMs + durationSmoothing * (ms - this.meanCallMs);
     }
 
-    /** Takes it out for a while, after a sign that it cannot be reached. */
-    setAside(): void {
-        this.asideUntil = performance.now() + setAsideMs;
+    /** Excludes the upstream from new calls for a short time, after an attempt that could not reach it. */
+    eject(): void {
+        this.ejectedUntil = performance.now() + ejectionMs;
     }
 }
 
-/** All upstreams by their address and process. */
+/** All known upstreams by id, with a connection pool for each process. */
 export class Upstreams {
     private readonly byId = new Map<string, Upstream>();
 
     constructor(
         private readonly onRemoved: (id: string) => void,
         private readonly routes: () => RouteTable | undefined,
-        private readonly connectionShare: (maxConnections: number) => number,
+        private readonly connectionLimit: (maxConnections: number) => number,
         private readonly log: Logger,
     ) {}
 
@@ -60,35 +62,35 @@
         return this.byId.size;
     }
 
-    /** Calls of this instance by upstream, without those that have none. */
-    ownLoad(): Record<string, number> {
+    /** Returns the calls of this instance in flight by upstream, without idle upstreams. */
+    localLoad(): Record<string, number> {
         const busy = [...this.byId.values()].filter(({ inFlight }) => inFlight > 0);
         return Object.fromEntries(busy.map(({ entry, inFlight }) => [entry.id, inFlight]));
     }
 
-    /** Upstreams of a service that may get calls now. */
+    /** Returns the available upstreams of a service; if there are none, those whose entry went missing recently. */
     usable(service: string): Upstream[] {
         const now = performance.now();
         const all = [...this.byId.values()].filter(({ entry }) => entry.service === service);
-        const usable = all.filter(upstream => upstream.mayServe(now));
+        const usable = all.filter(upstream => upstream.isAvailable(now));
         return usable.length > 0 ?
             usable :
-            all.filter(({ entry, missingSince }) => lastChance(entry, missingSince, now));
+            all.filter(({ entry, missingSince }) => isRecentlyMissing(entry, missingSince, now));
     }
 
-    /** Takes all entries of the store; others are gone. */
-    onSnapshot(entries: readonly UpstreamEntry[], storeWasAway: boolean): void {
+    /** Replaces all entries by those of a snapshot of the store. */
+    onSnapshot(entries: readonly UpstreamEntry[], storeWasUnavailable: boolean): void {
         const ids = new Set(entries.map(entry => entry.id));
-        entries.forEach(entry => this.onEntry(entry));
-        [...this.byId.keys()].filter(id => !ids.has(id)).forEach(id => this.onGone(id, storeWasAway));
+        entries.forEach(entry => this.onEntryPut(entry));
+        [...this.byId.keys()].filter(id => !ids.has(id)).forEach(id => this.onEntryRemoved(id, storeWasUnavailable));
     }
 
-    /** Takes a new or changed entry. */
-    onEntry(entry: UpstreamEntry): void {
+    /** Handles a new or changed entry. */
+    onEntryPut(entry: UpstreamEntry): void {
         const known = this.byId.get(entry.id);
-        const isSame = known?.entry.address === entry.address && known.entry.service === entry.service &&
+        const isSameProcess = known?.entry.address === entry.address && known.entry.service === entry.service &&
             known.entry.startedAt === entry.startedAt;
-        if (known !== undefined && isSame) {
+        if (known !== undefined && isSameProcess) {
             this.update(known, entry);
             return;
         }
@@ -96,29 +98,33 @@
             this.remove(known, "restarted");
         }
         const maxConnections = this.routes()?.service(entry.service)?.maxConnections ?? entry.slots * 8;
-        const connections = new UpstreamConnections(entry.address, Math.max(2, this.connectionShare(maxConnections)));
+        const connections = new UpstreamConnections(entry.address, Math.max(2, this.connectionLimit(maxConnections)));
         this.byId.set(entry.id, new Upstream(entry, connections));
         const { id, service, address, zone, draining } = entry;
         this.log.info("upstream added", { upstream: id, service, address, zone, draining });
     }
 
-    /** Takes the removal of an entry; one that may have lapsed because the store was away gets time to come back. */
-    onGone(id: string, storeWasAway: boolean): void {
+    /** Handles the removal of an entry; if a store outage may be the cause, the upstream may register again. */
+    onEntryRemoved(id: string, storeWasUnavailable: boolean): void {
         const upstream = this.byId.get(id);
         if (upstream === undefined || upstream.missingSince !== undefined) {
             return;
         }
-        if (!storeWasAway || upstream.entry.draining) {
-            this.remove(upstream, "gone");
+        if (!storeWasUnavailable || upstream.entry.draining) {
+            this.remove(upstream, "entry removed from the store");
             return;
         }
         upstream.missingSince = performance.now();
-        this.log.info("upstream missing", { upstream: id, graceMs: returnGraceMs, reason: "the store was away" });
+        this.log.info("upstream missing", {
+            upstream: id,
+            graceMs: missingGraceMs,
+            reason: "its entry may have expired because of a store outage",
+        });
         setTimeout(() => {
             if (this.byId.get(id) === upstream && upstream.missingSince !== undefined) {
-                this.remove(upstream, "not back after the store's return");
+                this.remove(upstream, "not registered again after a store outage");
             }
-        }, returnGraceMs).unref();
+        }, missingGraceMs).unref();
     }
 
     close(): void {
@@ -142,6 +148,6 @@
     }
 }
 
-/** With nothing better at hand, an upstream whose entry may just have lapsed is tried. */
-const lastChance = (entry: UpstreamEntry, missingSince: number | undefined, now: number): boolean =>
-    !entry.draining && missingSince !== undefined && now - missingSince < returnGraceMs;
+/** Whether the entry has only just gone missing, so that the upstream is still used if no other is available. */
+const isRecentlyMissing = (entry: UpstreamEntry, missingSince: number | undefined, now: number): boolean =>
+    !entry.draining && missingSince !== undefined && now - missingSince < missingGraceMs;
--- a/tests/gateway/budgets.test.ts
+++ b/tests/gateway/budgets.test.ts
@@ -1,5 +1,5 @@
 import { Progress, silentLogger } from "@marigolddrift/common";
-import { Budgets, GroupWriter } from "@marigolddrift/gateway";
+import { BatchWriter, Budgets } from "@marigolddrift/gateway";
 import { expect } from "earl";
 import fc from "fast-check";
 import { describe, it } from "node:test";
@@ -20,7 +20,7 @@
             return budgets === undefined ? undefined : { ask } as never;
         },
     };
-    const budgets = new Budgets(name, new GroupWriter(store, 0, silentLogger), store, peers, silentLogger);
+    const budgets = new Budgets(name, new BatchWriter(store, 0, silentLogger), store, peers, silentLogger);
     instances.set(name, budgets);
     return budgets;
 };
--- a/tests/gateway/decisions.test.ts
+++ b/tests/gateway/decisions.test.ts
@@ -1,6 +1,6 @@
 import { LineLogger, silentLogger } from "@marigolddrift/common";
 import type { WriteFunction } from "@marigolddrift/common";
-import { chooseTarget, judgeReply, RouteTable, Upstreams } from "@marigolddrift/gateway";
+import { chooseTarget, classifyReply, RouteTable, Upstreams } from "@marigolddrift/gateway";
 import type { ReplyHead, Route, UpstreamEntry } from "@marigolddrift/gateway";
 import { PrefixView } from "@marigolddrift/policy";
 import { expect } from "earl";
@@ -12,14 +12,14 @@
     name,
     host,
     prefix,
-    streams: false,
+    isStreaming: false,
     idempotent: true,
     targets: [{ service: "s", weight: 1 }],
     timeoutMs: 1_000,
-    targetMs: 100,
+    targetLatencyMs: 100,
     priority: 0,
     maxUpstreams: 1,
-    keepTurnsMs: 0,
+    turnRetentionMs: 0,
 });
 const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headersTimeoutMs: 1, idleTimeoutMs: 1 };
 
@@ -31,22 +31,25 @@
     ];
     const table = new RouteTable({ version: 1, services: [], limits, routes });
 
-    it("should choose the longest prefix of the host's routes", () => {
-        const find = (host: string, path: string): string | undefined => table.match(host, path)?.name;
-        expect(find("a.example", "/x/y/z")).toEqual("deep");
-        expect(find("A.example:80", "/x/y?from=/x/y/")).toEqual("root");
-        expect(find("b.example", "/x/")).toEqual("b");
-        expect(find("b.example", "/x")).toEqual(undefined);
-        expect(find("c.example", "/x/")).toEqual(undefined);
+    it("should select the longest matching prefix among the host's routes", () => {
+        const match = (host: string, path: string): string | undefined => table.match(host, path)?.name;
+        expect(match("a.example", "/x/y/z")).toEqual("deep");
+        expect(match("A.example:80", "/x/y?from=/x/y/")).toEqual("root");
+        expect(match("b.example", "/x/")).toEqual("b");
+        expect(match("b.example", "/x")).toEqual(undefined);
+        expect(match("c.example", "/x/")).toEqual(undefined);
     });
 
     it("should split calls by weight", () => {
-        const split = { ...route("r", "h", "/"), targets: [{ service: "s", weight: 9 }, { service: "t", weight: 1 }] };
-        expect([0, 0.89, 0.91, 0.999].map(random => chooseTarget(split, random))).toEqual(["s", "s", "t", "t"]);
+        const weighted = {
+            ...route("r", "h", "/"),
+            targets: [{ service: "s", weight: 9 }, { service: "t", weight: 1 }],
+        };
+        expect([0, 0.89, 0.91, 0.999].map(random => chooseTarget(weighted, random))).toEqual(["s", "s", "t", "t"]);
     });
 });
 
-describe("replies", () => {
+describe("upstream replies", () => {
     const reply = (changes: Partial<ReplyHead>): ReplyHead => ({
         status: 200,
         callId: "c1",
@@ -57,20 +60,21 @@
         ...changes,
     });
 
-    it("should be passed on only if they are the call's own", () => {
-        expect(judgeReply(reply({}), "c1")).toEqual("answer");
-        expect(judgeReply(reply({ status: 500, signed: false, callId: undefined }), "c1")).toEqual("answer");
-        expect(judgeReply(reply({ callId: "c0" }), "c1")).toEqual("unusable");
-        expect(judgeReply(reply({ callId: "c0", notRun: true }), "c1")).toEqual("unusable");
-        expect(judgeReply(reply({ signed: false }), "c1")).toEqual("unusable");
-        expect(judgeReply(reply({ callId: undefined }), "c1")).toEqual("unusable");
+    it("should be passed on only if they belong to the call", () => {
+        expect(classifyReply(reply({}), "c1")).toEqual("answer");
+        expect(classifyReply(reply({ status: 500, signed: false, callId: undefined }), "c1")).toEqual("answer");
+        expect(classifyReply(reply({ callId: "c0" }), "c1")).toEqual("unusable");
+        expect(classifyReply(reply({ callId: "c0", notRun: true }), "c1")).toEqual("unusable");
+        expect(classifyReply(reply({ signed: false }), "c1")).toEqual("unusable");
+        expect(classifyReply(reply({ callId: undefined }), "c1")).toEqual("unusable");
     });
 
-    it("should mean that the call did not run only if the upstream says so", () => {
-        expect(judgeReply(reply({ status: 503, notRun: true, promisesNotRun: true, callId: undefined }), "c1")).toEqual(
-            "notRun",
-        );
-        expect(judgeReply(reply({ status: 503, promisesNotRun: true }), "c1")).toEqual("unusable");
+    it("should mean that the call did not run only if the upstream states it explicitly", () => {
+        expect(classifyReply(reply({ status: 503, notRun: true, promisesNotRun: true, callId: undefined }), "c1"))
+            .toEqual(
+                "notRun",
+            );
+        expect(classifyReply(reply({ status: 503, promisesNotRun: true }), "c1")).toEqual("unusable");
     });
 });
 
@@ -87,38 +91,38 @@
     });
     const create = (): Upstreams => new Upstreams(() => {}, () => undefined, () => 2, silentLogger);
 
-    it("should leave out what drains at once, and what is gone", () => {
+    it("should leave out at once upstreams that drain or were removed", () => {
         const upstreams = create();
         upstreams.onSnapshot([entry("a"), entry("b"), entry("c")], false);
-        upstreams.onEntry(entry("a", { draining: true }));
-        upstreams.onGone("b", false);
+        upstreams.onEntryPut(entry("a", { draining: true }));
+        upstreams.onEntryRemoved("b", false);
         expect(upstreams.usable("s").map(upstream => upstream.entry.id)).toEqual(["c"]);
     });
 
-    it("should give entries that lapsed while the store was away time to come back", () =>
+    it("should give upstreams whose entries expired during a store outage time to register again", () =>
         withClock(async clock => {
             const upstreams = create();
             upstreams.onSnapshot([entry("a"), entry("b")], false);
             upstreams.onSnapshot([entry("a")], true);
-            upstreams.onGone("a", true);
+            upstreams.onEntryRemoved("a", true);
             await clock.tickAsync(1_500);
             expect(upstreams.usable("s").length).toEqual(2);
-            upstreams.onEntry(entry("a"));
+            upstreams.onEntryPut(entry("a"));
             await clock.tickAsync(1_000);
             expect(upstreams.usable("s").map(upstream => upstream.entry.id)).toEqual(["a"]);
         }));
 
-    it("should take a process that started again under its id for another one", () => {
+    it("should take a restarted process with the same id as a new upstream", () => {
         const upstreams = create();
-        upstreams.onEntry(entry("a"));
+        upstreams.onEntryPut(entry("a"));
         const before = upstreams.get("a");
-        upstreams.onEntry(entry("a", { startedAt: 2 }));
+        upstreams.onEntryPut(entry("a", { startedAt: 2 }));
         expect(upstreams.get("a") === before).toEqual(false);
     });
 });
 
-describe("prefixes", () => {
-    it("should count the leading parts that a worker has read", () => {
+describe("prefix view", () => {
+    it("should count the tokens of the leading prompt parts that a worker has processed", () => {
         const view = new PrefixView();
         const parts = [{ id: "shared", tokens: 512 }, { id: "mine", tokens: 100 }, { id: "new", tokens: 50 }];
         view.onRead("w", parts.slice(0, 2));
@@ -129,7 +133,7 @@
 });
 
 describe("line logger", () => {
-    it("should drop whole lines when the reader is slow, say how many, and never wait", async () => {
+    it("should drop whole lines rather than wait when the reader is slow, and log their number", async () => {
         const written: string[] = [];
         let release: (() => void) | undefined;
         const slow: WriteFunction = (bytes, done) => {
--- a/tests/gateway/regionBudgets.test.ts
+++ b/tests/gateway/regionBudgets.test.ts
@@ -1,5 +1,5 @@
 import { Progress, rendezvous, silentLogger } from "@marigolddrift/common";
-import { Budgets, GroupWriter, RegionBudgets } from "@marigolddrift/gateway";
+import { BatchWriter, Budgets, RegionBudgets } from "@marigolddrift/gateway";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 
@@ -46,7 +46,7 @@
             get: (instance: string) => members.has(instance) ? peer(instance) : undefined,
             usableInRegion: () => names.filter(other => other !== name).map(peer),
         } as never;
-        const budgets = new Budgets(name, new GroupWriter(store, 0, silentLogger), store, peers, silentLogger);
+        const budgets = new Budgets(name, new BatchWriter(store, 0, silentLogger), store, peers, silentLogger);
         const self = { instance: name, region: "r", address: () => name };
         members.set(name, { budgets, region: new RegionBudgets(self, budgets, peers, silentLogger), reachable: true });
     }
--- a/tests/gateway/regionReads.test.ts
+++ b/tests/gateway/regionReads.test.ts
@@ -1,5 +1,5 @@
 import { Progress, silentLogger } from "@marigolddrift/common";
-import { ChangeFeed, Follower, RegionReads } from "@marigolddrift/gateway";
+import { ChangeFeed, PrefixWatcher, RegionalStoreReader } from "@marigolddrift/gateway";
 import type { PeerQuestion } from "@marigolddrift/gateway";
 import { HistoryGoneError } from "@marigolddrift/store";
 import type { ChangeBatch, StoredValue } from "@marigolddrift/store";
@@ -13,7 +13,7 @@
 const prefix = "config";
 const silenceMs = 2_000;
 
-/** A store that counts the bytes it hands out. */
+/** A store that counts the bytes of the values that it returns as changes. */
 class CountingStore extends FakeStore {
     bytesSent = 0;
 
@@ -24,18 +24,18 @@
     }
 }
 
-interface Member {
-    readonly reads: RegionReads;
-    readonly follower: Follower;
-    /** The newest value that it knows. */
+interface RegionMember {
+    readonly reader: RegionalStoreReader;
+    readonly watcher: PrefixWatcher;
+    /** The latest value that the instance has read. */
     value: string;
-    /** Whether its peers get answers from it. */
+    /** How the instance responds to its peers. */
     mode: "answers" | "silent" | "down";
 }
 
-/** Instances of a region that follow one store and call each other directly. */
-const createRegion = (store: FakeStore, size: number): Map<string, Member> => {
-    const members = new Map<string, Member>();
+/** Creates instances of a region that watch the same store and call each other in memory. */
+const createRegion = (store: FakeStore, size: number): Map<string, RegionMember> => {
+    const members = new Map<string, RegionMember>();
     const names = Array.from({ length: size }, (_, index) => `front-${index}`);
     const ask = async (name: string, question: PeerQuestion, progress: Progress): Promise<unknown> => {
         const member = members.get(name)!;
@@ -45,7 +45,7 @@
         if (member.mode === "silent") {
             await progress.sleep(60_000);
         }
-        return await progress.race(member.reads.answer(prefix, question.revision, question.waitMs, progress));
+        return await progress.race(member.reader.answerPeer(prefix, question.revision, question.waitMs, progress));
     };
     const peer = (name: string) => ({
         name,
@@ -55,88 +55,88 @@
     for (const name of names) {
         const peers = { usableInRegion: () => names.filter(other => other !== name).map(peer) } as never;
         const feed = new ChangeFeed();
-        const self = { instance: name, region: "r", address: () => name };
-        const reads = new RegionReads(self, store, peers, feed, silentLogger);
-        const note = ({ value }: StoredValue): void => void (members.get(name)!.value = value.toString());
-        const follower = new Follower(
-            reads,
+        const localPeer = { instance: name, region: "r", address: () => name };
+        const reader = new RegionalStoreReader(localPeer, store, peers, feed, silentLogger);
+        const recordValue = ({ value }: StoredValue): void => void (members.get(name)!.value = value.toString());
+        const watcher = new PrefixWatcher(
+            reader,
             prefix,
             {
-                onSnapshot: values => values.forEach(note),
-                onChanges: changes => changes.forEach(change => change.kind === "put" && note(change.stored)),
-                onLost: () => {},
-                onRegained: () => {},
+                onSnapshot: values => values.forEach(recordValue),
+                onChanges: changes => changes.forEach(change => change.kind === "put" && recordValue(change.stored)),
+                onDisconnected: () => {},
+                onReconnected: () => {},
             },
             silenceMs,
             silentLogger,
             feed,
         );
-        members.set(name, { reads, follower, value: "", mode: "answers" });
+        members.set(name, { reader, watcher, value: "", mode: "answers" });
     }
     return members;
 };
 
 const withRegion = async (
     size: number,
-    test: (region: Map<string, Member>, store: CountingStore) => Promise<void>,
+    test: (region: Map<string, RegionMember>, store: CountingStore) => Promise<void>,
 ): Promise<void> => {
     const store = new CountingStore();
     await write(store, "v1");
     const region = createRegion(store, size);
-    region.forEach(({ follower }) => follower.start());
+    region.forEach(({ watcher }) => watcher.start());
     try {
-        await until(() => all(region, "v1"));
+        await until(() => allHave(region, "v1"));
         await new Promise(resolve => setTimeout(resolve, 50));
         await test(region, store);
     }
     finally {
-        region.forEach(({ follower }) => follower.stop());
+        region.forEach(({ watcher }) => watcher.stop());
     }
 };
 
 const write = (store: FakeStore, value: string) => store.txn([], [{ key: prefix, value: Buffer.from(value) }]);
-const all = (region: ReadonlyMap<string, Member>, value: string): boolean =>
+const allHave = (region: ReadonlyMap<string, RegionMember>, value: string): boolean =>
     [...region.values()].every(member => member.value === value);
 
-/** As a configuration of many routes is: long, and alike in all its parts. */
+/** Like a configuration with many routes: long and repetitive. */
 const longText = Array.from({ length: 1_600 }, () => `{"prefix":"/${randomBytes(8).toString("hex")}/","kind":"safe"}`)
     .join();
 
-describe("reads of a region", () => {
-    it("should fetch a long configuration for many instances a few times only", () =>
+describe("store reads within a region", () => {
+    it("should read a long configuration only a few times for many instances", () =>
         withRegion(30, async (region, store) => {
             const startedAt = performance.now();
             await write(store, longText);
-            await until(() => all(region, longText));
+            await until(() => allHave(region, longText));
             expect(performance.now() - startedAt).toSatisfy(ms => ms < 1_500);
             expect(store.bytesSent).toSatisfy(bytes => bytes <= 3 * longText.length);
         }));
 
-    it("should take changes in time although two of the three instances that are asked are silent", () =>
+    it("should take changes in time although two of the three leading instances do not respond", () =>
         withRegion(8, async (region, store) => {
-            const leaders = [...region.values()].filter(({ reads }) => reads.followsDirectly);
+            const leaders = [...region.values()].filter(({ reader }) => reader.readsDirectly);
             expect(leaders.length).toEqual(3);
             leaders.slice(0, 2).forEach(member => member.mode = "silent");
             const startedAt = performance.now();
             await write(store, "v2");
-            await until(() => all(region, "v2"));
+            await until(() => allHave(region, "v2"));
             expect(performance.now() - startedAt).toSatisfy(ms => ms < 1_000);
         }));
 
-    it("should follow the store itself when no peer answers", () =>
+    it("should read from the store directly when no peer responds", () =>
         withRegion(8, async (region, store) => {
             region.forEach(member => member.mode = "down");
             await new Promise(resolve => setTimeout(resolve, silenceMs));
             const before = store.reads;
             await write(store, "v2");
-            await until(() => all(region, "v2"));
+            await until(() => allHave(region, "v2"));
             await new Promise(resolve => setTimeout(resolve, 500));
             expect(store.reads - before).toSatisfy(reads => reads <= 24);
         }));
 });
 
 describe("change feed", () => {
-    it("should refuse what it does not reach back to, and what it cannot follow now", async () => {
+    it("should reject revisions that are no longer buffered, and reads while the store is unavailable", async () => {
         const feed = new ChangeFeed();
         const progress = new Progress(1_000);
         feed.onSnapshot(10);
@@ -145,12 +145,12 @@
         expect(await feed.next(12, 10, progress)).toEqual({ changes: [], revision: 12 });
         await expect(feed.next(9, 10, progress)).toBeRejectedWith(HistoryGoneError);
         const value = Buffer.alloc(3 * 1024 * 1024);
-        const long = (revision: number) => ({ kind: "put" as const, stored: { key: "a", value, revision } });
-        feed.onChanges([long(13), long(14)], 14);
+        const largeChange = (revision: number) => ({ kind: "put" as const, stored: { key: "a", value, revision } });
+        feed.onChanges([largeChange(13), largeChange(14)], 14);
         expect((await feed.next(13, 10, progress)).changes.length).toEqual(1);
         await expect(feed.next(12, 10, progress)).toBeRejectedWith(HistoryGoneError);
         const waiting = feed.next(14, 5_000, progress);
-        feed.onLost();
+        feed.onDisconnected();
         await expect(waiting).toBeRejectedWith("away");
         feed.onChanges([], 15);
         expect((await feed.next(14, 10, progress)).revision).toEqual(15);
--- a/tests/platform/adapter.test.ts
+++ b/tests/platform/adapter.test.ts
@@ -54,9 +54,9 @@
     it("should decode routes by what the fields hold", () => {
         const decoded = storeLayout.decodeConfig(bytes(config(7)))!;
         const [chat, look, order] = decoded.routes;
-        expect([chat!.streams, chat!.idempotent, chat!.keepTurnsMs]).toEqual([true, false, 60_000]);
-        expect([look!.streams, look!.idempotent, look!.maxUpstreams]).toEqual([false, true, 2]);
-        expect([order!.idempotent, order!.keepTurnsMs]).toEqual([false, 0]);
+        expect([chat!.isStreaming, chat!.idempotent, chat!.turnRetentionMs]).toEqual([true, false, 60_000]);
+        expect([look!.isStreaming, look!.idempotent, look!.maxUpstreams]).toEqual([false, true, 2]);
+        expect([order!.idempotent, order!.turnRetentionMs]).toEqual([false, 0]);
         expect(decoded.services[0]!.engine?.tokensPerEvent).toEqual(10);
     });
 
@@ -81,12 +81,16 @@
 describe("headers of the platform", () => {
     it("should not pass on what concerns one connection, by its list too", () => {
         const raw = ["Connection", "keep-alive, X-Hop", "X-Hop", "1", "X-End", "2", "Expect-Instance", "forged"];
-        const headers = callHeaders.forward(raw, { upstream: "i-1", leftMs: 900, enginePriority: undefined });
+        const headers = callHeaders.buildUpstreamHeaders(raw, {
+            upstream: "i-1",
+            leftMs: 900,
+            enginePriority: undefined,
+        });
         expect(headers).toEqual(["X-End", "2", "Deadline-Ms", "900", "Expect-Instance", "i-1"]);
     });
 
     it("should decode a turn", () => {
-        const head = callHeaders.readCall({
+        const head = callHeaders.parseCall({
             "request-id": "r1",
             "token-usage": "1460,80",
             "prompt-prefix": "5c1e:800,91bd:410",
@@ -100,15 +104,15 @@
         expect(head.prompt!.parts.map(part => part.tokens)).toEqual([800, 410]);
         expect(head.program).toEqual({
             id: "p1",
-            line: "l1",
+            thread: "l1",
             finishInMs: 5_200,
             tokenBudget: 2_304,
-            continuesTurn: "t0",
+            previousTurnId: "t0",
         });
     });
 
     it("should take a call for not run only by the worker's word", () => {
-        const read = (status: number, headers: string[]) => callHeaders.readReply(status, headers);
+        const read = (status: number, headers: string[]) => callHeaders.parseReply(status, headers);
         expect(read(503, ["Not-Executed", "1"])).toHaveSubset({ notRun: true, promisesNotRun: true });
         expect(read(421, [])).toHaveSubset({ notRun: true });
         expect(read(503, [])).toHaveSubset({ notRun: false, promisesNotRun: true });
