--- a/packages/gateway/src/budgets/budgetAccount.ts
+++ b/packages/gateway/src/budgets/budgetAccount.ts
@@ -1,78 +1,82 @@
-/** What one instance has taken of a program's budget, and what it has used of that. */
+/** Tracks the tokens that this instance has allocated from a program's budget and how many of them it has used. */
 import type { StoredValue } from "@marigolddrift/store";
 
 import { unpackBudget } from "./budgetRecord.js";
 import type { BudgetRecord } from "./budgetRecord.js";
 
 /**
- * The record says what was taken, also by writes that nobody waited for any more; the account says what was used. What is
- * available follows from both, so that no lost reply strands or doubles tokens.
+ * One instance's view of a program's budget. The stored record is authoritative for allocations, including those made
+ * by writes whose reply timed out; the account counts only usage. The available tokens are derived from both, so a lost
+ * reply neither strands tokens nor counts them twice.
  */
 export class BudgetAccount {
     record: BudgetRecord;
     revision = 0;
-    /** Turns that run now. */
+    /** Number of turns in progress. */
     running = 0;
     lastUsedAt = performance.now();
-    /** Ends when the change of the record that is under way has ended; changes follow each other. */
-    lastChange: Promise<unknown> = Promise.resolve();
+    /** Settles when the latest queued update of the record has finished; updates run one at a time. */
+    lastUpdate: Promise<unknown> = Promise.resolve();
     /** Tokens that turns have used or reserved. */
-    private used = 0;
-    /** Tokens in a return whose outcome is not known. */
-    private returning = 0;
+    private usedTokens = 0;
+    /** Tokens in a return whose outcome is unknown. */
+    private returningTokens = 0;
 
-    /** @param holder Name in the record; unique to this account. */
+    /** @param holder Key of this account in the record's allocations; unique to this account. */
     constructor(readonly program: string, total: number, readonly holder: string) {
         this.record = { total, taken: {}, nonce: "" };
     }
 
-    /** Tokens that a turn may reserve. */
+    /** Allocated tokens that are neither used, reserved nor being returned. */
     get available(): number {
-        return (this.record.taken[this.holder] ?? 0) - this.used - this.returning;
+        return (this.record.taken[this.holder] ?? 0) - this.usedTokens - this.returningTokens;
     }
 
-    /** Names of the others that have taken tokens. */
+    /** Other accounts that hold allocated tokens, by their keys in the record. */
     get otherHolders(): string[] {
         return Object.entries(this.record.taken).filter(([holder, tokens]) => holder !== this.holder && tokens > 0)
             .map(([holder]) => holder);
     }
 
-    /** Reserves tokens of those available. */
+    /** Marks available tokens as used. */
     reserve(tokens: number): void {
-        this.used += tokens;
+        this.usedTokens += tokens;
     }
 
-    /** Ends a reservation of which less was used. */
+    /** Makes the unused part of a reservation available again. */
     release(tokens: number): void {
-        this.used -= tokens;
+        this.usedTokens -= tokens;
     }
 
     /**
-     * Takes tokens out before their return is written: an unknown outcome must not leave them in two places. Those of an
-     * earlier return with an unknown outcome are in it again, since both writes have the same condition.
+     * Makes all available tokens unavailable before their return is written, so that a write with an unknown outcome
+     * cannot leave them both here and in the shared budget. Includes the tokens of an earlier return with an unknown
+     * outcome: both writes are conditional on the same revision, so at most one of them succeeds.
+     *
+     * @returns Number of tokens to return.
      */
     beginReturn(): number {
-        this.returning += this.available;
-        return this.returning;
+        this.returningTokens += this.available;
+        return this.returningTokens;
     }
 
-    /** The record with a change of what this account has taken. */
-    changed(by: number, nonce: string): BudgetRecord {
-        const taken = { ...this.record.taken, [this.holder]: (this.record.taken[this.holder] ?? 0) + by };
+    /** Copies the record with this account's allocation changed by `delta` tokens. */
+    withTakenDelta(delta: number, nonce: string): BudgetRecord {
+        const taken = { ...this.record.taken, [this.holder]: (this.record.taken[this.holder] ?? 0) + delta };
         return { total: this.record.total, taken, nonce };
     }
 
-    /** Accepts what was read or written; a newer revision settles all earlier writes. */
-    accept(record: BudgetRecord, revision: number): void {
+    /** Applies a record that was read or written. A new revision decides the outcome of all earlier writes. */
+    applyRecord(record: BudgetRecord, revision: number): void {
         if (revision !== this.revision) {
-            this.returning = 0;
+            this.returningTokens = 0;
         }
         this.record = record;
         this.revision = revision;
     }
 
-    /** Accepts what the store holds; a record that was removed is written anew with what is known. */
-    acceptStored(stored: StoredValue | undefined): void {
-        this.accept(stored === undefined ? this.record : unpackBudget(stored.value), stored?.revision ?? 0);
+    /** Applies the stored value. If the record was deleted, the next write recreates it as last known. */
+    applyStored(stored: StoredValue | undefined): void {
+        this.applyRecord(stored === undefined ? this.record : unpackBudget(stored.value), stored?.revision ?? 0);
     }
 }
--- a/packages/gateway/src/budgets/budgetRecord.ts
+++ b/packages/gateway/src/budgets/budgetRecord.ts
@@ -1,11 +1,11 @@
-/** The durable record of a program's token budget, and how much of it an instance takes at a time. */
+/** Stored record of a program's token budget, and the size of the allocations that instances make from it. */
 import { Packr } from "msgpackr";
 
-/** What the store holds of a program's budget. */
+/** A program's budget as stored. */
 export interface BudgetRecord {
     /** Tokens that the program may generate. */
     readonly total: number;
-    /** Tokens that instances have taken and not returned. */
+    /** Tokens that are allocated and not returned, by holder. */
     readonly taken: Readonly<Record<string, number>>;
     /** Makes each written value unique. */
     readonly nonce: string;
@@ -13,36 +13,36 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** */
+/** Encodes a budget record. */
 export const packBudget = (record: BudgetRecord): Buffer => packr.pack(record);
 
-/** */
+/** Decodes a budget record. */
 export const unpackBudget = (bytes: Buffer): BudgetRecord => packr.unpack(bytes) as BudgetRecord;
 
-/** Tokens that no instance has taken yet. */
-export const freeTokens = (record: BudgetRecord): number =>
+/** Tokens that are not allocated to any instance. */
+export const unallocatedTokens = (record: BudgetRecord): number =>
     record.total - Object.values(record.taken).reduce((sum, tokens) => sum + tokens, 0);
 
-/** Turns up to which a free budget counts as small: it is not shared out, since parts would hold no turn. */
-const smallTurns = 3;
+/** Up to this many turns, the unallocated budget is not split by share, since an allocation might not hold a turn. */
+const smallBudgetTurns = 3;
 
-/** Share of a larger free budget that an instance takes: what it holds is lost to the program if it crashes. */
-const portionShare = 0.4;
+/** Share of a larger unallocated budget per allocation; limited because a crash loses the allocation to the program. */
+const allocationShare = 0.4;
 
-/** Turns for which one portion is enough at most. */
-const portionTurns = 4;
+/** Upper limit of an allocation, in turns. */
+const maxAllocationTurns = 4;
 
 /**
- * Tokens to take so that a turn can reserve `needed`, or 0 if the budget does not hold them. For programs of many short
- * turns behind several instances that may all crash at once: each write costs a call, and a crash strands what was taken
- * and not used.
+ * Number of tokens to allocate so that a turn can reserve `needed` tokens; 0 if the budget is insufficient. Sized for
+ * programs of many short turns on several instances that may all crash at once: each allocation costs a store call, and
+ * a crash strands the allocated tokens that were not used.
  */
-export const portionToTake = (free: number, needed: number, available: number): number => {
-    if (free + available < needed) {
+export const nextAllocationTokens = (unallocated: number, needed: number, available: number): number => {
+    if (unallocated + available < needed) {
         return 0;
     }
-    const wanted = free <= smallTurns * needed ?
+    const targetTokens = unallocated <= smallBudgetTurns * needed ?
         2 * needed :
-        Math.max(needed, Math.min(portionTurns * needed, Math.ceil(free * portionShare)));
-    return Math.min(free, wanted - available);
+        Math.max(needed, Math.min(maxAllocationTurns * needed, Math.ceil(unallocated * allocationShare)));
+    return Math.min(unallocated, targetTokens - available);
 };
--- a/packages/gateway/src/budgets/budgets.ts
+++ b/packages/gateway/src/budgets/budgets.ts
@@ -1,4 +1,4 @@
-/** Token budgets of programs: an instance spends only from portions that the store's record grants it. */
+/** Token budgets of programs. An instance spends only tokens that it has allocated in the stored record. */
 import { asError, ProblemError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import type { StoredValue, VersionedStore } from "@marigolddrift/store";
@@ -7,29 +7,29 @@
 import { notDurable } from "../state/groupWriter.js";
 import type { GroupWriter } from "../state/groupWriter.js";
 import { BudgetAccount } from "./budgetAccount.js";
-import { freeTokens, packBudget, portionToTake } from "./budgetRecord.js";
+import { nextAllocationTokens, packBudget, unallocatedTokens } from "./budgetRecord.js";
 
-/** Time after which a program without turns is forgotten, and its record removed, in milliseconds. */
-const forgetMs = 600_000;
+/** Time without turns after which a program's account is evicted and its record is deleted. */
+const accountIdleMs = 600_000;
 
-/** Time that another instance may take to return what it does not use, in milliseconds. */
-const askTimeoutMs = 500;
+/** Timeout of a request to another instance to return its unspent tokens. */
+const returnRequestTimeoutMs = 500;
 
-/** Time that the removal of a record may take, in milliseconds. */
+/** Timeout of the deletion of a record. */
 const removalTimeoutMs = 2_000;
 
-/** Between an instance and the number of its account in the names of holders. */
+/** Separates the instance id from the account number in holder names. */
 const holderSeparator = "#";
 
-const instanceOf = (holder: string): string => holder.split(holderSeparator)[0]!;
+const instanceOfHolder = (holder: string): string => holder.split(holderSeparator)[0]!;
 
-/** Tokens that a turn may generate. */
+/** Tokens reserved for a turn. */
 export interface Reservation {
-    /** Ends the reservation with the tokens that were handed to the caller. */
+    /** Ends the reservation; `spent` is the number of tokens that were delivered to the caller. */
     settle(spent: number): void;
 }
 
-/** The budgets of the programs that this instance serves. */
+/** Manages the budgets of the programs that this instance serves. */
 export class Budgets {
     private readonly accounts = new Map<string, BudgetAccount>();
     private nextAccount = 0;
@@ -43,22 +43,22 @@
         private readonly peers: Pick<Peers, "get" | "refresh">,
         private readonly log: Logger,
     ) {
-        this.timer = setInterval(() => this.forgetOld(), forgetMs / 4);
+        this.timer = setInterval(() => this.evictIdleAccounts(), accountIdleMs / 4);
         this.timer.unref();
     }
 
     /**
      * Reserves tokens for a turn.
      *
-     * @throws ProblemError `budget_exhausted` if the budget does not hold them.
+     * @throws ProblemError `budget_exhausted` if the budget is insufficient.
      */
     async reserve(program: string, total: number, needed: number, progress: Progress): Promise<Reservation> {
-        const account = this.account(program, total);
+        const account = this.getOrCreateAccount(program, total);
         account.running += 1;
         account.lastUsedAt = performance.now();
         try {
             if (account.available < needed) {
-                await this.serialize(account, () => this.refill(account, needed, progress));
+                await this.runExclusive(account, () => this.refill(account, needed, progress));
             }
             else {
                 account.reserve(needed);
@@ -71,21 +71,21 @@
         return createReservation(account, needed);
     }
 
-    /** Returns all that is not in use, before the instance stops. */
-    async returnAll(progress: Progress): Promise<void> {
+    /** Returns all unspent tokens to the shared budgets before the instance stops. */
+    async returnAllUnspent(progress: Progress): Promise<void> {
         const unspent = [...this.accounts.values()].filter(account => account.available > 0);
-        await Promise.all(unspent.map(account => this.returnUnspent(account, progress)));
+        await Promise.all(unspent.map(account => this.returnUnspentOf(account, progress)));
     }
 
-    /** Returns what is not in use of a program's budget, for another instance; false if there was nothing. */
-    async returnFor(program: string, progress: Progress): Promise<boolean> {
+    /** Returns the unspent tokens of a program on request of another instance. Resolves to false if there were none. */
+    async returnUnspent(program: string, progress: Progress): Promise<boolean> {
         const account = this.accounts.get(program);
         const unspent = account?.available ?? 0;
         if (account === undefined || unspent <= 0) {
             return false;
         }
-        await this.returnUnspent(account, progress);
-        this.log.info("budget returned", { program, tokens: unspent, reason: "another instance needs it" });
+        await this.returnUnspentOf(account, progress);
+        this.log.info("unspent budget returned", { program, tokens: unspent, reason: "requested by another instance" });
         return true;
     }
 
@@ -93,7 +93,7 @@
         clearInterval(this.timer);
     }
 
-    private account(program: string, total: number): BudgetAccount {
+    private getOrCreateAccount(program: string, total: number): BudgetAccount {
         let account = this.accounts.get(program);
         if (account === undefined) {
             account = new BudgetAccount(program, total, `${this.instance}${holderSeparator}${this.nextAccount++}`);
@@ -102,29 +102,29 @@
         return account;
     }
 
-    private async serialize<T>(account: BudgetAccount, change: () => Promise<T>): Promise<T> {
-        const result = account.lastChange.then(change, change);
-        account.lastChange = result.catch(() => {
-            // The caller of `serialize` gets the error; the next change starts afresh.
+    private async runExclusive<T>(account: BudgetAccount, update: () => Promise<T>): Promise<T> {
+        const result = account.lastUpdate.then(update, update);
+        account.lastUpdate = result.catch(() => {
+            // The caller of `runExclusive` gets the error; it must not fail the next update.
         });
         return await result;
     }
 
     private async refill(account: BudgetAccount, needed: number, progress: Progress): Promise<void> {
-        let hasAsked = false;
+        let hasReclaimed = false;
         while (account.available < needed) {
-            const portion = portionToTake(freeTokens(account.record), needed, account.available);
-            if (portion > 0) {
-                await this.change(account, portion, progress);
+            const allocation = nextAllocationTokens(unallocatedTokens(account.record), needed, account.available);
+            if (allocation > 0) {
+                await this.updateRecord(account, allocation, progress);
                 continue;
             }
-            if (hasAsked || !await this.askOthers(account, progress)) {
+            if (hasReclaimed || !await this.reclaimFromPeers(account, progress)) {
                 const { program, available, record, revision } = account;
                 this.log.info("budget spent", { program, needed, available, ...record, revision });
                 throw new ProblemError("budget_exhausted", "notRun", "The program's token budget is spent.");
             }
-            hasAsked = true;
-            account.acceptStored(await this.readRecord(account.program, progress));
+            hasReclaimed = true;
+            account.applyStored(await this.readRecord(account.program, progress));
         }
         account.reserve(needed);
     }
@@ -135,76 +135,76 @@
         }
         catch (err) {
             progress.check();
-            this.log.info("budget not readable", { program, error: asError(err).message });
+            this.log.info("failed to read budget record", { program, error: asError(err).message });
             throw notDurable();
         }
     }
 
-    /** Asks the instances that have taken tokens to return what they do not use; false if none of them did. */
-    private async askOthers(account: BudgetAccount, progress: Progress): Promise<boolean> {
+    /** Asks the other holders to return their unspent tokens. Resolves to false if none of them returned any. */
+    private async reclaimFromPeers(account: BudgetAccount, progress: Progress): Promise<boolean> {
         const { program } = account;
-        if (account.otherHolders.some(holder => this.peers.get(instanceOf(holder)) === undefined)) {
+        if (account.otherHolders.some(holder => this.peers.get(instanceOfHolder(holder)) === undefined)) {
             await this.peers.refresh();
         }
-        const answers = await Promise.all(account.otherHolders.map(async holder => {
-            const asked = progress.child(askTimeoutMs);
+        const returned = await Promise.all(account.otherHolders.map(async holder => {
+            const askProgress = progress.child(returnRequestTimeoutMs);
             try {
-                const peer = this.peers.get(instanceOf(holder));
-                return await peer?.ask({ kind: "returnBudget", program }, asked) ?? false;
+                const peer = this.peers.get(instanceOfHolder(holder));
+                return await peer?.ask({ kind: "returnBudget", program }, askProgress) ?? false;
             }
             catch (err) {
-                this.log.info("budget holder silent", { program, holder, error: asError(err).message });
+                this.log.info("budget holder did not return tokens", { program, holder, error: asError(err).message });
                 return false;
             }
             finally {
-                asked.dispose();
+                askProgress.dispose();
             }
         }));
-        return answers.includes(true);
+        return returned.includes(true);
     }
 
-    /** Changes what this instance has taken; a conflict only refreshes the account, and returns false. */
-    private async change(account: BudgetAccount, by: number, progress: Progress): Promise<boolean> {
-        const next = account.changed(by, `${this.instance}/${this.nextNonce++}`);
+    /** Changes the allocation by `delta`. On a conflict, only refreshes the account and resolves to false. */
+    private async updateRecord(account: BudgetAccount, delta: number, progress: Progress): Promise<boolean> {
+        const next = account.withTakenDelta(delta, `${this.instance}/${this.nextNonce++}`);
         const put = { key: budgetKey(account.program), expected: account.revision, value: packBudget(next) };
-        const result = by > 0 ? await this.writer.putSoon(put, progress) : await this.writer.put(put, progress);
+        const result = delta > 0 ? await this.writer.putSoon(put, progress) : await this.writer.put(put, progress);
         if (result.kind === "conflict") {
-            account.acceptStored(result.current);
+            account.applyStored(result.current);
             return false;
         }
-        account.accept(next, result.revision);
+        account.applyRecord(next, result.revision);
         return true;
     }
 
-    private async returnUnspent(account: BudgetAccount, progress: Progress): Promise<void> {
-        await this.serialize(account, async () => {
+    private async returnUnspentOf(account: BudgetAccount, progress: Progress): Promise<void> {
+        await this.runExclusive(account, async () => {
             for (let unspent = account.beginReturn(); unspent > 0; unspent = account.beginReturn()) {
-                if (await this.change(account, -unspent, progress)) {
+                if (await this.updateRecord(account, -unspent, progress)) {
                     return;
                 }
             }
         });
     }
 
-    private forgetOld(): void {
+    private evictIdleAccounts(): void {
         const now = performance.now();
         for (const account of this.accounts.values()) {
-            if (account.running === 0 && now - account.lastUsedAt > forgetMs) {
+            if (account.running === 0 && now - account.lastUsedAt > accountIdleMs) {
                 this.accounts.delete(account.program);
-                void this.remove(account);
+                void this.removeRecord(account);
             }
         }
     }
 
-    /** Removes the record of a program that nobody has changed since. */
-    private async remove({ program, revision }: BudgetAccount): Promise<void> {
+    /** Deletes the record of a program unless another instance has changed it since. */
+    private async removeRecord({ program, revision }: BudgetAccount): Promise<void> {
         const progress = new Progress(removalTimeoutMs);
         const key = budgetKey(program);
         try {
             await progress.race(this.store.txn([{ key, revision }], [], progress, [key]));
         }
         catch (err) {
-            this.log.info("budget not removed", { program, error: asError(err).message });
+            this.log.info("budget record not removed", { program, error: asError(err).message });
         }
         finally {
             progress.dispose();
--- a/packages/gateway/src/budgets/regionBudgets.ts
+++ b/packages/gateway/src/budgets/regionBudgets.ts
@@ -1,153 +1,167 @@
 /**
- * Lets one instance of each region keep a program's budget. Load pattern: the turns of one program come in through
- * several instances and availability zones of a region, each of which would take a portion of its own from the store's record.
+ * Reserves tokens through one coordinator instance per region and program. Load pattern: the turns of a program arrive
+ * at several instances and availability zones of a region, and without a coordinator each instance would make its own
+ * allocation from the stored record.
  */
 import { asError, ProblemError, rendezvous } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 
 import type { PeerClient } from "../peers/peerClient.js";
-import type { PeerAnswers, PeerQuestion, PeerSelf } from "../peers/peerMessages.js";
+import type { LocalInstance, PeerRequest, PeerResponses } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 import { notDurable } from "../state/groupWriter.js";
 import type { Budgets, Reservation } from "./budgets.js";
 
-/** Time that the keeper may take, in milliseconds: that of a write to a store that is about to be taken for away. */
-const askTimeoutMs = 700;
+/** Timeout of a reservation at the coordinator: that of a write to a store about to be considered unavailable. */
+const reserveTimeoutMs = 700;
 
-/** Time that the keeper may take to learn how a reservation ended, in milliseconds. */
+/** Timeout of the notification that settles a reservation. */
 const settleTimeoutMs = 500;
 
-/** Time after which a reservation that nobody has settled is forgotten, and so stays spent, in milliseconds. */
-const forgetMs = 600_000;
+/** Time after which an unsettled reservation is dropped; its tokens remain spent. */
+const reservationTtlMs = 600_000;
 
-interface Lent {
-    readonly since: number;
+interface PeerReservation {
+    readonly createdAt: number;
     readonly pending: Promise<Reservation>;
 }
 
 /** Reserves tokens for turns. */
 export interface TokenReserver {
-    /** @throws ProblemError `budget_exhausted` if the budget does not hold them. */
+    /** @throws ProblemError `budget_exhausted` if the budget is insufficient. */
     reserve(program: string, total: number, needed: number, progress: Progress): Promise<Reservation>;
 }
 
 /**
- * Asks the keeper of a program for its tokens. Nothing depends on all instances naming the same keeper: each keeper spends
- * only what the store's record grants it.
+ * Reserves tokens at the program's coordinator. Instances may disagree on the coordinator without overspending, because
+ * each coordinator spends only what it has allocated in the stored record.
  */
 export class RegionBudgets implements TokenReserver {
     private nextReservation = 0;
-    /** Reservations of other instances, by their names. */
-    private readonly lent = new Map<string, Lent>();
+    /** Open reservations of other instances, by reservation id. */
+    private readonly peerReservations = new Map<string, PeerReservation>();
     private stopping = false;
 
     constructor(
-        private readonly self: PeerSelf,
-        private readonly own: Budgets,
+        private readonly localInstance: LocalInstance,
+        private readonly localBudgets: Budgets,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly log: Logger,
     ) {}
 
     async reserve(program: string, total: number, needed: number, progress: Progress): Promise<Reservation> {
-        const keeper = this.keeperOf(program);
-        return keeper === undefined ?
-            await this.own.reserve(program, total, needed, progress) :
-            await this.reserveAt(keeper, program, total, needed, progress);
+        const coordinator = this.remoteCoordinatorOf(program);
+        return coordinator === undefined ?
+            await this.localBudgets.reserve(program, total, needed, progress) :
+            await this.reserveRemotely(coordinator, program, total, needed, progress);
     }
 
-    /** Lets other instances keep what they need themselves from now on. */
+    /** Declines further reservations for other instances, which then allocate tokens themselves. */
     stop(): void {
         this.stopping = true;
     }
 
-    /** Reserves for another instance. */
-    async lend(
-        question: Extract<PeerQuestion, { kind: "reserveTokens"; }>,
+    /** Reserves tokens on request of another instance. */
+    async reserveForPeer(
+        request: Extract<PeerRequest, { kind: "reserveTokens"; }>,
         progress: Progress,
-    ): Promise<PeerAnswers["reserveTokens"]> {
-        const { reservation, program, total, needed } = question;
+    ): Promise<PeerResponses["reserveTokens"]> {
+        const { reservation, program, total, needed } = request;
         if (this.stopping) {
             return "elsewhere";
         }
-        const pending = this.own.reserve(program, total, needed, progress);
-        this.forgetOld();
-        this.lent.set(reservation, { since: performance.now(), pending });
+        const pending = this.localBudgets.reserve(program, total, needed, progress);
+        this.dropExpiredReservations();
+        this.peerReservations.set(reservation, { createdAt: performance.now(), pending });
         try {
             await pending;
             return "reserved";
         }
         catch (err) {
-            this.lent.delete(reservation);
-            return refusalOf(err);
+            this.peerReservations.delete(reservation);
+            return reserveOutcomeOf(err);
         }
     }
 
-    /** Ends a reservation of another instance. */
-    async settleLent({ reservation, spent }: Extract<PeerQuestion, { kind: "settleTokens"; }>): Promise<boolean> {
-        const lent = this.lent.get(reservation);
-        this.lent.delete(reservation);
-        const settled = await lent?.pending.catch(() => undefined); // A reservation that failed holds nothing.
+    /** Settles a reservation of another instance. Resolves to false if there is no such reservation. */
+    async settleForPeer({ reservation, spent }: Extract<PeerRequest, { kind: "settleTokens"; }>): Promise<boolean> {
+        const peerReservation = this.peerReservations.get(reservation);
+        this.peerReservations.delete(reservation);
+        const settled = await peerReservation?.pending.catch(() => undefined); // Failed reservations hold no tokens.
         settled?.settle(spent);
         return settled !== undefined;
     }
 
-    /** Instances that crash settle nothing. */
-    private forgetOld(): void {
-        const before = performance.now() - forgetMs;
-        for (const [reservation, { since }] of this.lent) {
-            if (since >= before) {
+    /** Drops the reservations of instances that crashed before settling them. */
+    private dropExpiredReservations(): void {
+        const oldestCreatedAt = performance.now() - reservationTtlMs;
+        for (const [reservation, { createdAt }] of this.peerReservations) {
+            if (createdAt >= oldestCreatedAt) {
                 return;
             }
-            this.lent.delete(reservation);
+            this.peerReservations.delete(reservation);
         }
     }
 
-    private keeperOf(program: string): PeerClient | undefined {
-        const own = this.self.address();
-        const peers = new Map(this.peers.usableInRegion(this.self.region).map(peer => [peer.name, peer]));
-        const [first] = rendezvous(program, [own, ...peers.keys()]);
+    /** The program's coordinator in this region; undefined if it is this instance. */
+    private remoteCoordinatorOf(program: string): PeerClient | undefined {
+        const localAddress = this.localInstance.address();
+        const peers = new Map(this.peers.usableInRegion(this.localInstance.region).map(peer => [peer.name, peer]));
+        const [first] = rendezvous(program, [localAddress, ...peers.keys()]);
         return peers.get(first!);
     }
 
-    private async reserveAt(
-        keeper: PeerClient,
+    private async reserveRemotely(
+        coordinator: PeerClient,
         program: string,
         total: number,
         needed: number,
         progress: Progress,
     ): Promise<Reservation> {
-        const reservation = `${this.self.instance}/${this.nextReservation++}`;
-        const asked = progress.child(askTimeoutMs);
-        let answer: PeerAnswers["reserveTokens"] = "elsewhere";
+        const reservation = `${this.localInstance.instance}/${this.nextReservation++}`;
+        const askProgress = progress.child(reserveTimeoutMs);
+        let outcome: PeerResponses["reserveTokens"] = "elsewhere";
         try {
-            answer = await keeper.ask({ kind: "reserveTokens", reservation, program, total, needed }, asked);
+            outcome = await coordinator.ask(
+                { kind: "reserveTokens", reservation, program, total, needed },
+                askProgress,
+            );
         }
         catch (err) {
             progress.check();
-            const { instance } = keeper.address;
-            this.log.info("budget keeper silent", { program, keeper: instance, error: asError(err).message });
-            this.settleAt(keeper, reservation, 0);
+            const { instance } = coordinator.address;
+            this.log.info("budget coordinator did not respond", {
+                program,
+                keeper: instance,
+                error: asError(err).message,
+            });
+            this.settleRemotely(coordinator, reservation, 0);
         }
         finally {
-            asked.dispose();
+            askProgress.dispose();
         }
-        switch (answer) {
+        switch (outcome) {
             case "reserved":
-                return { settle: once(spent => this.settleAt(keeper, reservation, spent)) };
+                return { settle: once(spent => this.settleRemotely(coordinator, reservation, spent)) };
             case "spent":
                 throw new ProblemError("budget_exhausted", "notRun", "The program's token budget is spent.");
             case "storeAway":
                 throw notDurable();
             case "elsewhere":
-                return await this.own.reserve(program, total, needed, progress);
+                return await this.localBudgets.reserve(program, total, needed, progress);
         }
     }
 
-    /** Without this, the keeper counts the whole reservation as spent. */
-    private settleAt(keeper: PeerClient, reservation: string, spent: number): void {
-        void keeper.tell({ kind: "settleTokens", reservation, spent }, settleTimeoutMs).catch((err: unknown) => {
+    /** Notifies the coordinator; until it is notified, it counts the whole reservation as spent. */
+    private settleRemotely(coordinator: PeerClient, reservation: string, spent: number): void {
+        void coordinator.notify({ kind: "settleTokens", reservation, spent }, settleTimeoutMs).catch((err: unknown) => {
             const error = asError(err).message;
-            this.log.info("reservation not settled", { reservation, spent, error, outcome: "it counts as spent" });
+            this.log.info("failed to settle reservation", {
+                reservation,
+                spent,
+                error,
+                outcome: "the whole reservation counts as spent",
+            });
         });
     }
 }
@@ -162,7 +176,7 @@
     };
 };
 
-const refusalOf = (err: unknown): PeerAnswers["reserveTokens"] => {
+const reserveOutcomeOf = (err: unknown): PeerResponses["reserveTokens"] => {
     if (!(err instanceof ProblemError)) {
         return "elsewhere";
     }
--- a/packages/gateway/src/filters/historyFilter.ts
+++ b/packages/gateway/src/filters/historyFilter.ts
@@ -12,7 +12,7 @@
         const { program } = ctx.head;
         if (ctx.route.keepTurnsMs > 0 && program?.continuesTurn !== undefined) {
             const startedAt = performance.now();
-            ctx.conversation = await this.turns.conversation(
+            ctx.conversation = await this.turns.loadConversation(
                 { id: program.continuesTurn, program: program.id },
                 ctx.progress,
             );
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -16,10 +16,10 @@
 import type { GatewayOptions } from "./gatewayOptions.js";
 import { JournalArchive } from "./journal/journalArchive.js";
 import { peerName } from "./peers/peerMessages.js";
-import type { JournalQuestion, PeerQuestion, PeerSelf } from "./peers/peerMessages.js";
+import type { JournalRequest, LocalInstance, PeerRequest } from "./peers/peerMessages.js";
 import { Peers } from "./peers/peers.js";
 import { PeerServer } from "./peers/peerServer.js";
-import { answerStoreQuestion, RelayStore } from "./peers/relayStore.js";
+import { handleStoreRequest, RelayStore } from "./peers/relayStore.js";
 import { UpstreamPool } from "./placement.js";
 import type { PlacedCall } from "./placement.js";
 import { RouteTable } from "./routes.js";
@@ -84,7 +84,7 @@
     private readonly sharedLoad: SharedLoad;
     private readonly archive: StoreArchive;
     private readonly journals: JournalArchive;
-    private readonly self: PeerSelf;
+    private readonly self: LocalInstance;
     private readonly config: Followed;
     private readonly upstreamEntries: Followed;
     private readonly dispatcher: Dispatcher<PlacedCall>;
@@ -98,7 +98,7 @@
         const { log, layout } = options;
         const random = options.random ?? Math.random;
         this.log = log;
-        this.store = new RelayStore(options.store, except => this.peers.pick(except), log);
+        this.store = new RelayStore(options.store, except => this.peers.pickRelay(except), log);
         const store = this.store;
         this.peers = this.createPeers();
         this.peerServer = new PeerServer(
@@ -166,7 +166,7 @@
             this.entry.closeIdle();
         }
         const progress = new Progress(Math.max(200, this.options.graceMs - drainReserveMs / 2 - elapsed()));
-        await progress.race(this.budgets.returnAll(progress)).catch((err: unknown) => {
+        await progress.race(this.budgets.returnAllUnspent(progress)).catch((err: unknown) => {
             this.log.warn("budgets not returned", { error: String(err), outcome: "they count as spent" });
         });
         progress.dispose();
@@ -197,10 +197,10 @@
         return new Peers(machine, self, this.store, this.log);
     }
 
-    private async answer(question: PeerQuestion | JournalQuestion, progress: Progress): Promise<unknown> {
+    private async answer(question: PeerRequest | JournalRequest, progress: Progress): Promise<unknown> {
         switch (question.kind) {
             case "returnBudget":
-                return await this.budgets.returnFor(question.program, progress);
+                return await this.budgets.returnUnspent(question.program, progress);
             case "followed": {
                 const { prefix, revision, waitMs } = question;
                 const { reads } = prefix === this.options.layout.configKey ? this.config : this.upstreamEntries;
@@ -213,14 +213,14 @@
                 return turn && packTurn(turn);
             }
             case "reserveTokens":
-                return await this.regionBudgets.lend(question, progress);
+                return await this.regionBudgets.reserveForPeer(question, progress);
             case "settleTokens":
-                return await this.regionBudgets.settleLent(question);
+                return await this.regionBudgets.settleForPeer(question);
             case "get":
             case "range":
             case "changes":
             case "txn":
-                return await answerStoreQuestion(this.options.store, question, progress);
+                return await handleStoreRequest(this.options.store, question, progress);
             case "keepTurn":
             case "findTurn":
             case "turnsFlushed":
--- a/packages/gateway/src/journal/diskLog.ts
+++ b/packages/gateway/src/journal/diskLog.ts
@@ -1,4 +1,4 @@
-/** An append-only log on a small disk: segments of checked frames, synced in groups. */
+/** An append-only log for small disks: segments of checksummed frames, written with group commit. */
 import { asError } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { mkdir, open, readdir, readFile, unlink } from "node:fs/promises";
@@ -6,73 +6,73 @@
 import { join } from "node:path";
 import { crc32 } from "node:zlib";
 
-/** Size from which on a new segment is begun, in bytes. */
-const segmentBytes = 4 * 1024 * 1024;
+/** Size at which a segment is closed and a new one is created. */
+const segmentRolloverBytes = 4 * 1024 * 1024;
 
-/** Length and checksum before each payload, in bytes. */
-const headBytes = 8;
+/** Size of the length and checksum that precede each payload. */
+const frameHeaderBytes = 8;
 
-/** File that tells a disk which was used before from an empty one. */
-const identityFile = "identity";
+/** File that marks a disk as used, to distinguish it from a new, empty disk. */
+const markerFile = "identity";
 
 const namePattern = /^turns-(\d+)\.log$/;
 
-/** Number of a segment. */
-export type Segment = number;
+/** Sequence number of a segment. */
+export type SegmentId = number;
 
-/** A payload that was read back, with the segment in which it stands. */
+/** A payload read from the log, with its segment. */
 export interface LoggedPayload {
-    readonly segment: Segment;
+    readonly segment: SegmentId;
     readonly payload: Buffer;
 }
 
-/** What a log holds when it is opened. */
-export interface LogContent {
+/** Contents of a log when it is opened. */
+export interface LogContents {
     readonly payloads: readonly LoggedPayload[];
-    readonly segments: readonly Segment[];
-    /** Whether the disk was empty. */
+    readonly segments: readonly SegmentId[];
+    /** Whether the disk had never held a log before. */
     readonly isNew: boolean;
 }
 
-interface Pending {
+interface PendingAppend {
     readonly payload: Buffer;
-    readonly resolve: (segment: Segment) => void;
+    readonly resolve: (segment: SegmentId) => void;
     readonly reject: (err: Error) => void;
 }
 
-/** One log in a folder of its own. */
+/** A log in its own directory. */
 export class DiskLog {
-    private pending: Pending[] = [];
+    private pending: PendingAppend[] = [];
     private writing = false;
-    private current: { readonly segment: Segment; readonly file: FileHandle; bytes: number; } | undefined;
+    private current: { readonly segment: SegmentId; readonly file: FileHandle; bytes: number; } | undefined;
     private nextSegment = 0;
 
     constructor(private readonly dir: string, private readonly log: Logger) {}
 
-    /** Reads what earlier processes have written; a torn end of a segment is left out. */
-    async open(): Promise<LogContent> {
+    /** Reads the log that earlier processes have written. An incomplete or corrupt end of a segment is skipped. */
+    async open(): Promise<LogContents> {
         await mkdir(this.dir, { recursive: true });
         const names = await readdir(this.dir);
         const segments = names.map(name => namePattern.exec(name)?.[1]).filter(text => text !== undefined).map(Number)
             .sort((a, b) => a - b);
-        const found: LoggedPayload[] = [];
+        const payloadsRead: LoggedPayload[] = [];
         for (const segment of segments) {
-            const { payloads, tornBytes } = readFrames(await readFile(this.path(segment)));
-            payloads.forEach(payload => found.push({ segment, payload }));
+            const { payloads, tornBytes } = decodeFrames(await readFile(this.segmentPath(segment)));
+            payloads.forEach(payload => payloadsRead.push({ segment, payload }));
             if (tornBytes > 0) {
-                this.log.warn("torn end of the journal left out", { segment, tornBytes });
+                this.log.warn("left out torn end of journal segment", { segment, tornBytes });
             }
         }
         this.nextSegment = (segments.at(-1) ?? -1) + 1;
-        const isNew = !names.includes(identityFile);
+        const isNew = !names.includes(markerFile);
         if (isNew) {
-            await this.markUsed();
+            await this.createMarker();
         }
-        return { payloads: found, segments, isNew };
+        return { payloads: payloadsRead, segments, isNew };
     }
 
-    /** Resolves with the segment once the payload is on the disk. */
-    append(payload: Buffer): Promise<Segment> {
+    /** Resolves with the segment once the payload has been synced to disk. */
+    append(payload: Buffer): Promise<SegmentId> {
         return new Promise((resolve, reject) => {
             this.pending.push({ payload, resolve, reject });
             if (!this.writing) {
@@ -82,12 +82,12 @@
         });
     }
 
-    /** Removes a segment that nothing needs any more; the one that is being written stays. */
-    async drop(segment: Segment): Promise<boolean> {
+    /** Deletes a segment. Resolves to false without deleting it if it is the active one. */
+    async removeSegment(segment: SegmentId): Promise<boolean> {
         if (this.current?.segment === segment) {
             return false;
         }
-        await unlink(this.path(segment));
+        await unlink(this.segmentPath(segment));
         return true;
     }
 
@@ -96,8 +96,8 @@
         this.current = undefined;
     }
 
-    private async markUsed(): Promise<void> {
-        const file = await open(join(this.dir, identityFile), "w");
+    private async createMarker(): Promise<void> {
+        const file = await open(join(this.dir, markerFile), "w");
         await file.sync();
         await file.close();
     }
@@ -106,11 +106,11 @@
         while (this.pending.length > 0) {
             const group = this.pending.splice(0);
             try {
-                const segment = await this.write(Buffer.concat(group.flatMap(({ payload }) => frame(payload))));
+                const segment = await this.write(Buffer.concat(group.flatMap(({ payload }) => encodeFrame(payload))));
                 group.forEach(({ resolve }) => resolve(segment));
             }
             catch (err) {
-                this.log.error("journal not written", { error: asError(err).message, payloads: group.length });
+                this.log.error("journal write failed", { error: asError(err).message, payloads: group.length });
                 group.forEach(({ reject }) => reject(asError(err)));
                 await this.abandonSegment();
             }
@@ -118,52 +118,55 @@
         this.writing = false;
     }
 
-    private async write(bytes: Buffer): Promise<Segment> {
-        const current = this.current ??= await this.beginSegment();
+    private async write(bytes: Buffer): Promise<SegmentId> {
+        const current = this.current ??= await this.createSegment();
         await current.file.write(bytes);
         await current.file.datasync();
         current.bytes += bytes.length;
-        if (current.bytes >= segmentBytes) {
+        if (current.bytes >= segmentRolloverBytes) {
             this.current = undefined;
             await current.file.close();
         }
         return current.segment;
     }
 
-    private async beginSegment(): Promise<{ segment: Segment; file: FileHandle; bytes: number; }> {
+    private async createSegment(): Promise<{ segment: SegmentId; file: FileHandle; bytes: number; }> {
         const segment = this.nextSegment++;
-        const file = await open(this.path(segment), "wx");
+        const file = await open(this.segmentPath(segment), "wx");
         await file.sync();
         return { segment, file, bytes: 0 };
     }
 
-    /** After a failed write nobody knows what a segment holds at its end. */
+    /** Closes the active segment after a failed write, because its end may hold a partial frame. */
     private async abandonSegment(): Promise<void> {
         const abandoned = this.current;
         this.current = undefined;
         await abandoned?.file.close().catch((err: unknown) =>
-            this.log.warn("journal segment not closed", { segment: abandoned.segment, error: asError(err).message })
+            this.log.warn("failed to close journal segment", {
+                segment: abandoned.segment,
+                error: asError(err).message,
+            })
         );
     }
 
-    private path(segment: Segment): string {
+    private segmentPath(segment: SegmentId): string {
         return join(this.dir, `turns-${segment}.log`);
     }
 }
 
-const frame = (payload: Buffer): [Buffer, Buffer] => {
-    const head = Buffer.alloc(headBytes);
-    head.writeUInt32BE(payload.length, 0);
-    head.writeUInt32BE(crc32(payload), 4);
-    return [head, payload];
+const encodeFrame = (payload: Buffer): [Buffer, Buffer] => {
+    const header = Buffer.alloc(frameHeaderBytes);
+    header.writeUInt32BE(payload.length, 0);
+    header.writeUInt32BE(crc32(payload), 4);
+    return [header, payload];
 };
 
-const readFrames = (bytes: Buffer): { payloads: Buffer[]; tornBytes: number; } => {
+const decodeFrames = (bytes: Buffer): { payloads: Buffer[]; tornBytes: number; } => {
     const payloads: Buffer[] = [];
     let offset = 0;
-    while (offset + headBytes <= bytes.length) {
-        const end = offset + headBytes + bytes.readUInt32BE(offset);
-        const payload = bytes.subarray(offset + headBytes, end);
+    while (offset + frameHeaderBytes <= bytes.length) {
+        const end = offset + frameHeaderBytes + bytes.readUInt32BE(offset);
+        const payload = bytes.subarray(offset + frameHeaderBytes, end);
         if (end > bytes.length || crc32(payload) !== bytes.readUInt32BE(offset + 4)) {
             break;
         }
--- a/packages/gateway/src/journal/journalArchive.ts
+++ b/packages/gateway/src/journal/journalArchive.ts
@@ -1,40 +1,41 @@
 /**
- * Keeps turns on the disks of more machines than may be lost at once, and in the platform's store when too few of them
- * answer. Load pattern: turns that end while the store is away, or at a rate at which a call for each would cost too much.
+ * Replicates turns to the disks of more journal servers than may fail at once, and falls back to the platform's store
+ * when too few of them respond. Load pattern: turns that end while the store is unavailable, or at a rate at which one
+ * store call per turn would be too expensive.
  */
 import { asError, delay, ProblemError, rendezvous } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 
 import type { PeerClient } from "../peers/peerClient.js";
-import type { JournalAnswer } from "../peers/peerMessages.js";
+import type { FindTurnResponse } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 import { packTurn, unpackTurn } from "../turns/turnRecord.js";
 import type { TurnRecord } from "../turns/turnRecord.js";
-import type { TurnArchive, TurnName, TurnToKeep } from "../turns/turnStore.js";
+import type { TurnArchive, TurnRef, TurnToSave } from "../turns/turnStore.js";
 
-/** Time after which a further machine gets a copy, in milliseconds: above a way between regions and back, with a sync. */
-const hedgeMs = 90;
+/** Delay before a further server gets a copy: above a round trip between regions including a disk sync. */
+const copyHedgeMs = 90;
 
-/** Time after which the turn goes to the store as well, in milliseconds. */
-const storeAfterMs = 250;
+/** Delay before the turn is also written to the store. */
+const storeFallbackMs = 250;
 
-/** Time after which the next machines are asked for a turn as well, in milliseconds: above a way within the region. */
-const stageMs = 60;
+/** Delay before a lookup proceeds to the next stage: above a round trip within the region. */
+const lookupStageMs = 60;
 
-/** Time that one machine may take, in milliseconds. */
-const askTimeoutMs = 400;
+/** Timeout of a request to one server. */
+const requestTimeoutMs = 400;
 
-/** When a caller may ask again for a turn that nobody could rule out, in seconds. */
+/** Retry delay for callers when it is unknown whether a turn exists. */
 const retryAfterSeconds = 0.5;
 
-/** Where an instance is, and how many losses must not lose a turn. */
+/** Location of an instance, and the number of simultaneous server failures that a turn must survive. */
 export interface JournalPlacement {
     readonly zone: string;
     readonly regionOf: (zone: string) => string;
     readonly toleratedLosses: number;
 }
 
-/** Copies on disks first, the store as the other way. */
+/** Saves turns on journal servers, with the store as the fallback. */
 export class JournalArchive implements TurnArchive {
     constructor(
         private readonly peers: Pick<Peers, "journals" | "reload" | "pickFront">,
@@ -43,138 +44,156 @@
         private readonly log: Logger,
     ) {}
 
-    async save(kept: TurnToKeep, progress: Progress): Promise<void> {
-        const machines = this.ranked(kept.program).filter(inReach);
-        const copies = this.placement.toleratedLosses + 1;
-        if (machines.length < copies) {
-            await this.store.save(kept, progress);
+    async save(turnToSave: TurnToSave, progress: Progress): Promise<void> {
+        const servers = this.rankServers(turnToSave.program).filter(isReachable);
+        const copyCount = this.placement.toleratedLosses + 1;
+        if (servers.length < copyCount) {
+            await this.store.save(turnToSave, progress);
             return;
         }
-        await new CopyRound(kept, machines, copies, this.store, progress, this.log).run();
+        await new TurnReplication(turnToSave, servers, copyCount, this.store, progress, this.log).run();
     }
 
-    async load(name: TurnName, progress: Progress): Promise<TurnRecord | undefined> {
-        const answers = new Map<PeerClient, JournalAnswer>();
-        const found = await this.find(name, answers, progress, () => this.askFront(name, progress));
+    async load(ref: TurnRef, progress: Progress): Promise<TurnRecord | undefined> {
+        const responses = new Map<PeerClient, FindTurnResponse>();
+        const found = await this.findTurn(ref, responses, progress, () => this.loadViaFront(ref, progress));
         if (found === undefined) {
-            await this.checkCertain(name, answers, progress);
+            await this.verifyAbsent(ref, responses, progress);
         }
         return found;
     }
 
-    /** Looks for a turn for an instance that does not reach the machines itself; undefined says nothing. */
-    async loadForPeer(name: TurnName, progress: Progress): Promise<TurnRecord | undefined> {
-        return await this.find(name, new Map(), progress, async () => undefined);
+    /** Looks up a turn for an instance that cannot reach the journal servers. Undefined does not prove its absence. */
+    async loadForPeer(ref: TurnRef, progress: Progress): Promise<TurnRecord | undefined> {
+        return await this.findTurn(ref, new Map(), progress, async () => undefined);
     }
 
-    private async find(
-        name: TurnName,
-        answers: Map<PeerClient, JournalAnswer>,
+    private async findTurn(
+        ref: TurnRef,
+        responses: Map<PeerClient, FindTurnResponse>,
         progress: Progress,
-        askFront: Lookup,
+        loadViaFront: Lookup,
     ): Promise<TurnRecord | undefined> {
-        const machines = this.ranked(name.program);
-        const reached = machines.filter(inReach);
-        const others = machines.filter(machine => !reached.includes(machine) && machine.isUsable);
-        const lookup = (machine: PeerClient) => async (): Promise<TurnRecord | undefined> => {
-            const answer = await this.ask(machine, name, progress);
-            if (answer !== undefined) {
-                answers.set(machine, answer);
+        const servers = this.rankServers(ref.program);
+        const reachable = servers.filter(isReachable);
+        const unconnected = servers.filter(server => !reachable.includes(server) && server.isUsable);
+        const createLookup = (server: PeerClient) => async (): Promise<TurnRecord | undefined> => {
+            const response = await this.requestTurn(server, ref, progress);
+            if (response !== undefined) {
+                responses.set(server, response);
             }
-            return answer?.record && unpackTurn(answer.record);
+            return response?.record && unpackTurn(response.record);
         };
-        const loadStored = (): Promise<TurnRecord | undefined> => this.store.load(name, progress);
-        const copies = this.placement.toleratedLosses + 1;
+        const loadStored = (): Promise<TurnRecord | undefined> => this.store.load(ref, progress);
+        const copyCount = this.placement.toleratedLosses + 1;
         return await findInStages([
-            reached.slice(0, 1).map(lookup),
-            reached.slice(1, copies).map(lookup),
+            reachable.slice(0, 1).map(createLookup),
+            reachable.slice(1, copyCount).map(createLookup),
             [
-                ...reached.slice(copies).map(lookup),
-                ...others.map(lookup),
+                ...reachable.slice(copyCount).map(createLookup),
+                ...unconnected.map(createLookup),
                 loadStored,
-                ...(reached.length < copies ? [askFront] : []),
+                ...(reachable.length < copyCount ? [loadViaFront] : []),
             ],
-            // Turns move from the disks to the store: what was not found is looked for there once more.
+            // The turn may have been flushed from the disks to the store during the earlier stages.
             [loadStored],
         ]);
     }
 
-    /** A front that is cut off from the machines with disks asks one that may reach them. */
-    private async askFront({ id, program }: TurnName, progress: Progress): Promise<TurnRecord | undefined> {
+    /** Looks up a turn through another front instance, which may reach journal servers that this one cannot. */
+    private async loadViaFront({ id, program }: TurnRef, progress: Progress): Promise<TurnRecord | undefined> {
         const front = this.peers.pickFront();
-        const asked = progress.child(askTimeoutMs);
+        const askProgress = progress.child(requestTimeoutMs);
         try {
-            const record = await front?.ask({ kind: "loadTurn", id, program }, asked);
+            const record = await front?.ask({ kind: "loadTurn", id, program }, askProgress);
             return record && unpackTurn(record);
         }
         catch (err) {
             progress.check();
-            this.log.info("front did not find the turn", { turn: id, peer: front?.name, error: asError(err).message });
+            this.log.info("turn lookup through front instance failed", {
+                turn: id,
+                peer: front?.name,
+                error: asError(err).message,
+            });
             return undefined;
         }
         finally {
-            asked.dispose();
+            askProgress.dispose();
         }
     }
 
-    /** Each turn was on more disks than may be lost, so that all but those must have answered that they do not have it. */
-    private async checkCertain(
-        { id }: TurnName,
-        answers: ReadonlyMap<PeerClient, JournalAnswer>,
+    /**
+     * Throws unless the turn certainly does not exist. Each turn is saved on more disks than may be lost, so all but
+     * the tolerated number of servers must have answered that they do not have it.
+     */
+    private async verifyAbsent(
+        { id }: TurnRef,
+        responses: ReadonlyMap<PeerClient, FindTurnResponse>,
         progress: Progress,
     ): Promise<void> {
-        await this.reload(id, progress);
-        const unsure = this.peers.journals.filter(machine => answers.get(machine)?.complete !== true);
-        if (unsure.length > this.placement.toleratedLosses) {
-            this.log.info("turn not ruled out", { turn: id, unsure: unsure.map(({ name }) => name) });
-            throw unsureError();
+        await this.reloadServers(id, progress);
+        const inconclusive = this.peers.journals.filter(server => responses.get(server)?.complete !== true);
+        if (inconclusive.length > this.placement.toleratedLosses) {
+            this.log.info("cannot rule out that the turn exists", {
+                turn: id,
+                unsure: inconclusive.map(({ name }) => name),
+            });
+            throw inconclusiveError();
         }
     }
 
-    /** Without the present list of machines nothing can be ruled out. */
-    private async reload(id: string, progress: Progress): Promise<void> {
+    /** Reloads the list of journal servers; absence can be verified only against the current list. */
+    private async reloadServers(id: string, progress: Progress): Promise<void> {
         try {
             await this.peers.reload(progress);
         }
         catch (err) {
             progress.check();
-            this.log.info("machines not listed", { turn: id, error: asError(err).message });
-            throw unsureError();
+            this.log.info("failed to list journal machines", { turn: id, error: asError(err).message });
+            throw inconclusiveError();
         }
     }
 
-    private async ask(machine: PeerClient, { id }: TurnName, progress: Progress): Promise<JournalAnswer | undefined> {
-        const asked = progress.child(askTimeoutMs);
+    private async requestTurn(
+        server: PeerClient,
+        { id }: TurnRef,
+        progress: Progress,
+    ): Promise<FindTurnResponse | undefined> {
+        const askProgress = progress.child(requestTimeoutMs);
         try {
-            return await machine.ask({ kind: "findTurn", id }, asked);
+            return await server.ask({ kind: "findTurn", id }, askProgress);
         }
         catch (err) {
             progress.check();
-            this.log.info("journal silent", { turn: id, machine: machine.name, error: asError(err).message });
+            this.log.info("journal server did not respond", {
+                turn: id,
+                machine: server.name,
+                error: asError(err).message,
+            });
             return undefined;
         }
         finally {
-            asked.dispose();
+            askProgress.dispose();
         }
     }
 
-    /** Machines of the own region first; all instances of a region name the same ones for a program. */
-    private ranked(program: string): PeerClient[] {
+    /** Ranks servers: own region first. All instances of a region get the same order for a program. */
+    private rankServers(program: string): PeerClient[] {
         const { zone, regionOf } = this.placement;
-        const byName = new Map(this.peers.journals.map(machine => [machine.name, machine]));
-        const order = rendezvous(program, [...byName.keys()]).map(name => byName.get(name)!);
-        const isNear = (machine: PeerClient): boolean => regionOf(machine.address.zone) === regionOf(zone);
-        return [...order.filter(isNear), ...order.filter(machine => !isNear(machine))];
+        const byName = new Map(this.peers.journals.map(server => [server.name, server]));
+        const rankedServers = rendezvous(program, [...byName.keys()]).map(name => byName.get(name)!);
+        const isNear = (server: PeerClient): boolean => regionOf(server.address.zone) === regionOf(zone);
+        return [...rankedServers.filter(isNear), ...rankedServers.filter(server => !isNear(server))];
     }
 }
 
-/** Machines whose connection is open; the others are connected to in the background, which no turn waits for. */
-const inReach = ({ isUsable, isConnected }: PeerClient): boolean => isUsable && isConnected;
+/** Whether the connection is open. Connections are opened in the background, so that no turn waits for one. */
+const isReachable = ({ isUsable, isConnected }: PeerClient): boolean => isUsable && isConnected;
 
-/** One turn on its way to its copies. */
-class CopyRound {
-    private acknowledged = 0;
-    private sent = 0;
+/** Replication of one turn to journal servers. */
+class TurnReplication {
+    private acknowledgedCopies = 0;
+    private sentCopies = 0;
     private done = false;
     private readonly holders: readonly string[];
     private readonly record: Buffer;
@@ -182,25 +201,25 @@
     private reject: (err: unknown) => void = () => {};
 
     constructor(
-        private readonly kept: TurnToKeep,
-        private readonly machines: readonly PeerClient[],
-        private readonly copies: number,
+        private readonly turnToSave: TurnToSave,
+        private readonly servers: readonly PeerClient[],
+        private readonly copyCount: number,
         private readonly store: TurnArchive,
         private readonly progress: Progress,
         private readonly log: Logger,
     ) {
-        this.holders = machines.slice(0, copies).map(({ name }) => name);
-        this.record = packTurn(kept.turn);
+        this.holders = servers.slice(0, copyCount).map(({ name }) => name);
+        this.record = packTurn(turnToSave.turn);
     }
 
-    /** Resolves once enough machines or the store have the turn. */
+    /** Resolves once enough servers or the store have the turn. */
     async run(): Promise<void> {
         const result = new Promise<void>((resolve, reject) => Object.assign(this, { resolve, reject }));
         const timers = [
-            setTimeout(() => this.sendNext(), hedgeMs),
-            setTimeout(() => this.saveInStore(), storeAfterMs),
+            setTimeout(() => this.sendNext(), copyHedgeMs),
+            setTimeout(() => this.saveInStore(), storeFallbackMs),
         ];
-        for (let copy = 0; copy < this.copies; copy++) {
+        for (let copy = 0; copy < this.copyCount; copy++) {
             this.sendNext();
         }
         try {
@@ -213,21 +232,21 @@
     }
 
     private sendNext(): void {
-        const machine = this.machines[this.sent];
-        if (machine === undefined || this.done) {
+        const server = this.servers[this.sentCopies];
+        if (server === undefined || this.done) {
             return;
         }
-        const copy = this.sent++;
-        void this.send(machine, copy);
+        const copy = this.sentCopies++;
+        void this.send(server, copy);
     }
 
-    private async send(machine: PeerClient, copy: number): Promise<void> {
-        const { turn: { id }, keepMs } = this.kept;
-        const asked = this.progress.child(askTimeoutMs);
+    private async send(server: PeerClient, copy: number): Promise<void> {
+        const { turn: { id }, keepMs } = this.turnToSave;
+        const askProgress = this.progress.child(requestTimeoutMs);
         try {
             const turn = { id, record: this.record, keepMs, copy, holders: this.holders };
-            const taken = await machine.ask({ kind: "keepTurn", turn }, asked);
-            if (taken) {
+            const isStored = await server.ask({ kind: "keepTurn", turn }, askProgress);
+            if (isStored) {
                 this.onAcknowledged();
             }
             else {
@@ -235,43 +254,51 @@
             }
         }
         catch (err) {
-            this.log.info("copy not kept", { turn: id, machine: machine.name, error: asError(err).message });
+            this.log.info("failed to save copy of turn", {
+                turn: id,
+                machine: server.name,
+                error: asError(err).message,
+            });
             this.sendNext();
         }
         finally {
-            asked.dispose();
+            askProgress.dispose();
         }
     }
 
     private onAcknowledged(): void {
-        this.acknowledged += 1;
-        if (this.acknowledged >= this.copies) {
+        this.acknowledgedCopies += 1;
+        if (this.acknowledgedCopies >= this.copyCount) {
             this.resolve();
         }
     }
 
     private saveInStore(): void {
-        const { turn: { id } } = this.kept;
-        this.log.info("turn goes to the store", { turn: id, copies: this.acknowledged, sent: this.sent });
-        this.store.save(this.kept, this.progress).then(() => this.resolve(), err => this.reject(err));
+        const { turn: { id } } = this.turnToSave;
+        this.log.info("replication too slow; saving turn in the store", {
+            turn: id,
+            copies: this.acknowledgedCopies,
+            sent: this.sentCopies,
+        });
+        this.store.save(this.turnToSave, this.progress).then(() => this.resolve(), err => this.reject(err));
     }
 }
 
 type Lookup = () => Promise<TurnRecord | undefined>;
 
 /**
- * The first record that is found; undefined if there is none, and an error if a lookup failed and no other found it. A stage
- * begins when all lookups before it have ended without a record, or take long: asking all machines at once for each
- * turn of a busy fleet would keep them from answering at all.
+ * Runs lookups in stages and resolves to the first record found, or to undefined if there is none. Rejects if a lookup
+ * failed and no other found the record. A stage starts when all earlier lookups have ended without a record, or after
+ * `lookupStageMs`: querying all servers at once for every turn of a busy fleet would overload them.
  */
 const findInStages = async (stages: readonly (readonly Lookup[])[]): Promise<TurnRecord | undefined> => {
-    const begun: Promise<TurnRecord | undefined>[] = [];
+    const started: Promise<TurnRecord | undefined>[] = [];
     for (const stage of stages) {
-        begun.push(...stage.map(lookup => lookup()));
-        const all = firstFound(begun);
+        started.push(...stage.map(lookup => lookup()));
+        const all = firstFound(started);
         const found = await (stage === stages.at(-1) ? all : Promise.race([
             all.catch(() => undefined),
-            delay(stageMs),
+            delay(lookupStageMs),
         ]));
         if (found !== undefined) {
             return found;
@@ -280,18 +307,23 @@
     return undefined;
 };
 
-/** The first record that is found; undefined if none of them is, and an error if one failed and none was found. */
+/** Resolves to the first record found, or to undefined if there is none. Rejects if one failed and none was found. */
 const firstFound = async (lookups: readonly Promise<TurnRecord | undefined>[]): Promise<TurnRecord | undefined> => {
     const found = await Promise.any(lookups.map(async lookup => {
         const value = await lookup;
         if (value === undefined) {
-            throw new Error("not there");
+            throw new Error("not found");
         }
         return value;
     })).catch(() => undefined);
-    // Nothing was found: a lookup that failed says so here, since it rules nothing out.
+    // No record was found: rejects if a lookup failed, since the record may exist there.
     return found ?? (await Promise.all(lookups)).find(value => value !== undefined);
 };
 
-const unsureError = (): ProblemError =>
-    new ProblemError("not_durable", "notRun", "Too few machines said whether the turn exists.", { retryAfterSeconds });
+const inconclusiveError = (): ProblemError =>
+    new ProblemError(
+        "not_durable",
+        "notRun",
+        "Too few machines responded to determine whether the turn exists.",
+        { retryAfterSeconds },
+    );
--- a/packages/gateway/src/journal/journalServer.ts
+++ b/packages/gateway/src/journal/journalServer.ts
@@ -1,41 +1,41 @@
-/** A machine with a disk: keeps turns for the instances that serve callers, and relays their calls to the store. */
+/** A server with a disk that journals turns for the front instances and relays their calls to the store. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
 
-import type { JournalQuestion, PeerAddress, PeerQuestion } from "../peers/peerMessages.js";
+import type { JournalRequest, PeerAddress, PeerRequest } from "../peers/peerMessages.js";
 import { Peers } from "../peers/peers.js";
 import { PeerServer } from "../peers/peerServer.js";
-import { answerStoreQuestion, RelayStore } from "../peers/relayStore.js";
+import { handleStoreRequest, RelayStore } from "../peers/relayStore.js";
 import { RecordRemover } from "../turns/recordRemover.js";
 import { DiskLog } from "./diskLog.js";
 import { TurnJournal } from "./turnJournal.js";
 
-/** Time for which a disk that was empty counts as incomplete, in milliseconds: above that for which turns are kept. */
-const incompleteMs = 120_000;
+/** Time for which a new disk counts as incomplete: longer than the retention of turns. */
+const newDiskIncompleteMs = 120_000;
 
-/** Period at which the machine looks whether it is registered, in milliseconds. */
+/** Interval at which `start` checks whether the server is registered. */
 const registrationPollMs = 50;
 
-/** Time that another machine may take to hear which turns are in the store, in milliseconds. */
-const tellTimeoutMs = 500;
+/** Timeout of the notification to another server that turns have been written to the store. */
+const notifyTimeoutMs = 500;
 
 const unregisterTimeoutMs = 1_000;
 
 /** Settings of a {@link JournalServer}. */
 export interface JournalServerOptions {
-    readonly self: Omit<PeerAddress, "port" | "keepsTurns">;
+    readonly peerAddress: Omit<PeerAddress, "port" | "keepsTurns">;
     readonly machine: string;
     readonly peerPort: number;
-    /** Folder of the journal. */
+    /** Directory of the journal. */
     readonly dir: string;
-    /** Whether the whole system starts for the first time, so that an empty disk lacks nothing. */
+    /** Whether the whole system starts for the first time, in which case an empty disk is complete. */
     readonly firstStart: boolean;
     readonly store: VersionedStore;
     readonly log: Logger;
 }
 
-/** Serves the journal of one machine. */
+/** Serves the journal of one machine to its peers. */
 export class JournalServer {
     readonly journal: TurnJournal;
     private readonly peers: Peers;
@@ -45,39 +45,39 @@
     private closed = false;
 
     constructor(private readonly options: JournalServerOptions) {
-        const { log, self } = options;
-        const store = new RelayStore(options.store, except => this.peers.pick(except), log);
-        const address = (): PeerAddress => ({ ...self, port: this.peerPort, keepsTurns: true });
-        this.peers = new Peers(options.machine, address, store, log);
+        const { log, peerAddress } = options;
+        const store = new RelayStore(options.store, excluded => this.peers.pickRelay(excluded), log);
+        const localAddress = (): PeerAddress => ({ ...peerAddress, port: this.peerPort, keepsTurns: true });
+        this.peers = new Peers(options.machine, localAddress, store, log);
         this.server = new PeerServer(
             () => this.peers.key,
-            (question, progress) => this.answer(question, progress),
+            (request, progress) => this.handleRequest(request, progress),
             log,
         );
         this.remover = new RecordRemover(store, log);
-        const tell = (holder: string, ids: readonly string[]): void => this.tellFlushed(holder, ids);
-        this.journal = new TurnJournal(new DiskLog(options.dir, log), store, this.remover, tell, log);
+        const notifyFlushed = (holder: string, ids: readonly string[]): void => this.notifyFlushed(holder, ids);
+        this.journal = new TurnJournal(new DiskLog(options.dir, log), store, this.remover, notifyFlushed, log);
     }
 
-    /** Resolves once the machine takes turns, which it only does when others can find it. */
+    /** Resolves once the journal accepts turns, which it does only after peers can discover the server. */
     async start(): Promise<void> {
-        this.peerPort = await this.server.listen(this.options.self.host, this.options.peerPort);
+        this.peerPort = await this.server.listen(this.options.peerAddress.host, this.options.peerPort);
         this.peers.start();
         while (!this.peers.isRegistered && !this.closed) {
             await new Promise(resolve => setTimeout(resolve, registrationPollMs));
         }
-        await this.journal.start(isNewDisk => isNewDisk && !this.options.firstStart ? incompleteMs : 0);
+        await this.journal.start(isNewDisk => isNewDisk && !this.options.firstStart ? newDiskIncompleteMs : 0);
     }
 
-    /** Brings all turns into the store, and leaves the list of machines. */
-    async empty(): Promise<void> {
-        await this.journal.empty();
+    /** Flushes all turns to the store and unregisters the server. */
+    async drain(): Promise<void> {
+        await this.journal.drain();
         const progress = new Progress(unregisterTimeoutMs);
         try {
             await this.peers.unregister(progress);
         }
         catch (err) {
-            this.options.log.warn("machine not unregistered", { error: asError(err).message });
+            this.options.log.warn("failed to unregister machine", { error: asError(err).message });
         }
         finally {
             progress.dispose();
@@ -92,35 +92,39 @@
         await this.journal.close();
     }
 
-    private async answer(question: PeerQuestion | JournalQuestion, progress: Progress): Promise<unknown> {
-        switch (question.kind) {
+    private async handleRequest(request: PeerRequest | JournalRequest, progress: Progress): Promise<unknown> {
+        switch (request.kind) {
             case "keepTurn":
-                return await this.journal.keep(question.turn);
+                return await this.journal.append(request.turn);
             case "findTurn":
-                return this.journal.find(question.id);
+                return this.journal.find(request.id);
             case "turnsFlushed":
-                this.journal.onPeerFlushed(question.ids);
+                this.journal.onPeerFlushed(request.ids);
                 return true;
             case "get":
             case "range":
             case "changes":
             case "txn":
-                return await answerStoreQuestion(this.options.store, question, progress);
+                return await handleStoreRequest(this.options.store, request, progress);
             case "loadTurn":
             case "followed":
             case "shareLoad":
             case "returnBudget":
             case "reserveTokens":
             case "settleTokens":
-                throw new Error("this machine serves no callers");
+                throw new Error("this machine serves only journal requests and store calls");
         }
     }
 
-    /** A holder that does not hear it writes the turns once more. */
-    private tellFlushed(holder: string, ids: readonly string[]): void {
-        const peer = this.peers.named(holder);
-        peer?.tell({ kind: "turnsFlushed", ids }, tellTimeoutMs).catch((err: unknown) =>
-            this.options.log.info("holder not told", { holder, turns: ids.length, error: asError(err).message })
+    /** Notifies another holder of the turns. If the notification is lost, the holder only writes the turns again. */
+    private notifyFlushed(holder: string, ids: readonly string[]): void {
+        const peer = this.peers.getByName(holder);
+        peer?.notify({ kind: "turnsFlushed", ids }, notifyTimeoutMs).catch((err: unknown) =>
+            this.options.log.info("failed to notify holder of flushed turns", {
+                holder,
+                turns: ids.length,
+                error: asError(err).message,
+            })
         );
     }
 }
--- a/packages/gateway/src/journal/turnJournal.ts
+++ b/packages/gateway/src/journal/turnJournal.ts
@@ -1,138 +1,142 @@
 /**
- * Keeps turns on one disk until they are in the platform's store. Load pattern: many turns end each second, which would cost a
- * call to the store each, and some end while the store is away.
+ * Journals turns on one disk until they are flushed to the platform's store. Load pattern: many turns end each second,
+ * which would cost a store call each, and some end while the store is unavailable.
  */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
 import { Packr } from "msgpackr";
 
-import type { JournalAnswer, JournalTurn } from "../peers/peerMessages.js";
+import type { FindTurnResponse, JournaledTurn } from "../peers/peerMessages.js";
 import type { RecordRemover } from "../turns/recordRemover.js";
 import { turnKey } from "../turns/storeArchive.js";
-import type { DiskLog, Segment } from "./diskLog.js";
+import type { DiskLog, SegmentId } from "./diskLog.js";
 
-/** Time after which the first copy of a turn goes to the store, in milliseconds. */
-const firstCopyMs = 1_000;
+/** Delay after which the first copy of a turn is flushed to the store. */
+const firstCopyFlushDelayMs = 1_000;
 
-/** Further time for each later copy, which only goes there if the earlier ones did not, in milliseconds. */
-const laterCopyMs = 1_500;
+/** Additional delay per further copy, so that it is flushed only if the earlier copies were not. */
+const laterCopyFlushDelayMs = 1_500;
 
-/** Period at which the journal looks for turns that are due, in milliseconds. */
-const tickMs = 100;
+/** Interval at which the journal checks for turns that are due. */
+const flushPollMs = 100;
 
-/** Pause after a call to the store that failed, in milliseconds. */
-const retryMs = 250;
+/** Backoff after a failed store call. */
+const retryBackoffMs = 250;
 
-/** Time that the store may take for one call, in milliseconds. */
+/** Timeout of one store call. */
 const callTimeoutMs = 1_500;
 
-/** Turns and bytes that one call carries at most; the store takes 32 entries. */
-const maxGroup = 32;
-const maxGroupBytes = 512 * 1024;
+/** Limits of one store call; the store accepts up to 32 entries. */
+const maxBatchTurns = 32;
+const maxBatchBytes = 512 * 1024;
 
-/** Bytes of turns that are not in the store yet, beyond which the journal takes no more. */
+/** Size of the unflushed turns above which the journal rejects further turns. */
 const maxUnflushedBytes = 48 * 1024 * 1024;
 
-/** Bytes of turns that stay in memory for readers once they are in the store. */
-const maxReadableBytes = 24 * 1024 * 1024;
+/** Size of the in-memory cache of turns that have been flushed. */
+const maxFlushedCacheBytes = 24 * 1024 * 1024;
 
-interface Kept extends JournalTurn {
-    readonly segment: Segment;
+interface UnflushedTurn extends JournaledTurn {
+    readonly segment: SegmentId;
     readonly dueAt: number;
 }
 
 const packr = new Packr({ useRecords: false });
 
-/** What an entry of the log holds. */
-type LogEntry = { readonly turn: JournalTurn; } | { readonly flushed: readonly string[]; };
+/** An entry of the log: a turn, or the ids of turns that have been flushed. */
+type LogEntry = { readonly turn: JournaledTurn; } | { readonly flushed: readonly string[]; };
 
 /** The journal of one machine. */
 export class TurnJournal {
-    private readonly unflushed = new Map<string, Kept>();
+    private readonly unflushed = new Map<string, UnflushedTurn>();
     private unflushedBytes = 0;
-    private readonly readable = new Map<string, Buffer>();
-    private readableBytes = 0;
-    private readonly bySegment = new Map<Segment, number>();
-    /** Turns that are being written, whose segment is not known yet. */
-    private appending = 0;
+    private readonly flushedCache = new Map<string, Buffer>();
+    private flushedCacheBytes = 0;
+    private readonly unflushedBySegment = new Map<SegmentId, number>();
+    /** Number of turns being written to disk, whose segment is not yet known. */
+    private appendsInFlight = 0;
     private accepting = false;
-    private completeFrom = Infinity;
+    private completeAt = Infinity;
     private flushing = false;
-    private lost = false;
-    private pausedUntil = 0;
+    private isStoreUnreachable = false;
+    private retryAt = 0;
     private timer: NodeJS.Timeout | undefined;
 
     constructor(
         private readonly disk: DiskLog,
         private readonly store: Pick<VersionedStore, "txn">,
         private readonly remover: RecordRemover,
-        private readonly tellFlushed: (holder: string, ids: readonly string[]) => void,
+        private readonly notifyFlushed: (holder: string, ids: readonly string[]) => void,
         private readonly log: Logger,
     ) {}
 
-    /** Turns that are not in the store yet. */
-    get waiting(): number {
+    /** Number of turns that are not yet in the store. */
+    get unflushedCount(): number {
         return this.unflushed.size;
     }
 
     /**
-     * Reads the disk back and begins to take turns.
+     * Recovers the turns on the disk and starts to accept turns.
      *
-     * @param incompleteMs Time for which the journal may lack turns that an earlier disk of the machine had acknowledged.
+     * @param incompleteMs Time for which the journal may lack turns acknowledged by a previous disk of the machine.
      */
     async start(incompleteMs: (isNewDisk: boolean) => number): Promise<void> {
         const { payloads, segments, isNew } = await this.disk.open();
-        segments.forEach(segment => this.bySegment.set(segment, 0));
+        segments.forEach(segment => this.unflushedBySegment.set(segment, 0));
         for (const { segment, payload } of payloads) {
             const entry = packr.unpack(payload) as LogEntry;
             if ("turn" in entry) {
-                this.remember(entry.turn, segment);
+                this.addUnflushed(entry.turn, segment);
             }
             else {
-                entry.flushed.forEach(id => this.onFlushed(id));
+                entry.flushed.forEach(id => this.markFlushed(id));
             }
         }
-        this.dropUnneeded();
-        this.completeFrom = performance.now() + incompleteMs(isNew);
+        this.removeFlushedSegments();
+        this.completeAt = performance.now() + incompleteMs(isNew);
         this.accepting = true;
-        this.timer = setInterval(() => void this.flushDue(), tickMs);
-        this.log.info("journal open", { read: payloads.length, unflushed: this.unflushed.size, isNew });
+        this.timer = setInterval(() => void this.flushDue(), flushPollMs);
+        this.log.info("journal is open", { read: payloads.length, unflushed: this.unflushed.size, isNew });
     }
 
-    /** Resolves with true once the turn is on the disk, and with false if the journal takes no turns now. */
-    async keep(turn: JournalTurn): Promise<boolean> {
+    /** Resolves to true once the turn has been synced to disk, or to false if the journal accepts no turns now. */
+    async append(turn: JournaledTurn): Promise<boolean> {
         if (!this.accepting || this.unflushedBytes > maxUnflushedBytes) {
-            this.log.info("turn not taken", { turn: turn.id, accepting: this.accepting, bytes: this.unflushedBytes });
+            this.log.info("turn not taken into the journal", {
+                turn: turn.id,
+                accepting: this.accepting,
+                bytes: this.unflushedBytes,
+            });
             return false;
         }
         const entry: LogEntry = { turn };
-        this.appending += 1;
+        this.appendsInFlight += 1;
         try {
-            this.remember(turn, await this.disk.append(packr.pack(entry)));
+            this.addUnflushed(turn, await this.disk.append(packr.pack(entry)));
         }
         finally {
-            this.appending -= 1;
+            this.appendsInFlight -= 1;
         }
         return true;
     }
 
-    find(id: string): JournalAnswer {
-        const record = this.unflushed.get(id)?.record ?? this.readable.get(id);
-        return { record, complete: performance.now() >= this.completeFrom };
+    find(id: string): FindTurnResponse {
+        const record = this.unflushed.get(id)?.record ?? this.flushedCache.get(id);
+        return { record, complete: performance.now() >= this.completeAt };
     }
 
-    /** Notes that another holder has brought turns into the store. */
+    /** Records that another holder has flushed turns to the store. */
     onPeerFlushed(ids: readonly string[]): void {
-        this.settle(ids.filter(id => this.unflushed.has(id)));
+        this.recordFlushed(ids.filter(id => this.unflushed.has(id)));
     }
 
-    /** Takes no more turns, and brings all into the store. */
-    async empty(): Promise<void> {
+    /** Stops accepting turns and flushes all of them to the store. */
+    async drain(): Promise<void> {
         this.accepting = false;
         while (this.unflushed.size > 0) {
             await this.flush([...this.unflushed.values()]);
-            await new Promise(resolve => setTimeout(resolve, tickMs));
+            await new Promise(resolve => setTimeout(resolve, flushPollMs));
         }
     }
 
@@ -142,42 +146,42 @@
         await this.disk.close();
     }
 
-    private remember(turn: JournalTurn, segment: Segment): void {
-        if (this.unflushed.has(turn.id) || this.readable.has(turn.id)) {
+    private addUnflushed(turn: JournaledTurn, segment: SegmentId): void {
+        if (this.unflushed.has(turn.id) || this.flushedCache.has(turn.id)) {
             return;
         }
-        const dueAt = performance.now() + firstCopyMs + turn.copy * laterCopyMs;
+        const dueAt = performance.now() + firstCopyFlushDelayMs + turn.copy * laterCopyFlushDelayMs;
         this.unflushed.set(turn.id, { ...turn, segment, dueAt });
         this.unflushedBytes += turn.record.length;
-        this.bySegment.set(segment, (this.bySegment.get(segment) ?? 0) + 1);
+        this.unflushedBySegment.set(segment, (this.unflushedBySegment.get(segment) ?? 0) + 1);
     }
 
     private async flushDue(): Promise<void> {
         const now = performance.now();
-        if (this.flushing || now < this.pausedUntil) {
+        if (this.flushing || now < this.retryAt) {
             return;
         }
         const all = [...this.unflushed.values()];
         if (!all.some(({ dueAt }) => dueAt <= now)) {
             return;
         }
-        // With one turn due, the other first copies go along: they would be due within the next period.
+        // Includes all other first copies in the call; they become due within `firstCopyFlushDelayMs` anyway.
         await this.flush(all.filter(({ dueAt, copy }) => dueAt <= now || copy === 0));
     }
 
-    private async flush(due: readonly Kept[]): Promise<void> {
+    private async flush(due: readonly UnflushedTurn[]): Promise<void> {
         this.flushing = true;
         try {
-            for (let rest = due; rest.length > 0;) {
-                const group = firstGroup(rest);
-                rest = rest.slice(group.length);
-                await this.write(group);
+            for (let remaining = due; remaining.length > 0;) {
+                const batch = firstBatch(remaining);
+                remaining = remaining.slice(batch.length);
+                await this.writeBatch(batch);
             }
         }
         catch (err) {
-            this.pausedUntil = performance.now() + retryMs;
-            if (!this.lost) {
-                this.lost = true;
+            this.retryAt = performance.now() + retryBackoffMs;
+            if (!this.isStoreUnreachable) {
+                this.isStoreUnreachable = true;
                 this.log.warn("journal cannot reach the store", {
                     error: asError(err).message,
                     waiting: this.unflushed.size,
@@ -189,70 +193,70 @@
         }
     }
 
-    /** Records are immutable, so that writing one again does no harm. */
-    private async write(group: readonly Kept[]): Promise<void> {
+    /** Writes one batch to the store. Records are immutable, so writing one twice is harmless. */
+    private async writeBatch(batch: readonly UnflushedTurn[]): Promise<void> {
         const progress = new Progress(callTimeoutMs);
         try {
-            const puts = group.map(({ id, record }) => ({ key: turnKey(id), value: record }));
+            const puts = batch.map(({ id, record }) => ({ key: turnKey(id), value: record }));
             await progress.race(this.store.txn([], puts, progress));
         }
         finally {
             progress.dispose();
         }
-        if (this.lost) {
-            this.lost = false;
-            this.log.info("journal reaches the store again", { waiting: this.unflushed.size });
+        if (this.isStoreUnreachable) {
+            this.isStoreUnreachable = false;
+            this.log.info("journal can reach the store again", { waiting: this.unflushed.size });
         }
-        group.forEach(({ id, keepMs }) => this.remover.add(turnKey(id), keepMs));
-        this.settle(group.map(({ id }) => id));
-        const holders = new Set(group.flatMap(turn => turn.holders));
+        batch.forEach(({ id, keepMs }) => this.remover.schedule(turnKey(id), keepMs));
+        this.recordFlushed(batch.map(({ id }) => id));
+        const holders = new Set(batch.flatMap(turn => turn.holders));
         for (const holder of holders) {
-            this.tellFlushed(holder, group.filter(turn => turn.holders.includes(holder)).map(({ id }) => id));
+            this.notifyFlushed(holder, batch.filter(turn => turn.holders.includes(holder)).map(({ id }) => id));
         }
     }
 
-    private settle(ids: readonly string[]): void {
+    private recordFlushed(ids: readonly string[]): void {
         if (ids.length === 0) {
             return;
         }
-        ids.forEach(id => this.onFlushed(id));
-        this.dropUnneeded();
+        ids.forEach(id => this.markFlushed(id));
+        this.removeFlushedSegments();
         const entry: LogEntry = { flushed: ids };
-        // Lost with the process, this note only means that the turns are written to the store once more.
+        // If this entry is lost in a crash, the turns are only written to the store again.
         this.disk.append(packr.pack(entry)).catch((err: unknown) =>
-            this.log.warn("flushed turns not noted", { turns: ids.length, error: asError(err).message })
+            this.log.warn("failed to log flushed turns", { turns: ids.length, error: asError(err).message })
         );
     }
 
-    private onFlushed(id: string): void {
+    private markFlushed(id: string): void {
         const turn = this.unflushed.get(id);
         if (turn === undefined) {
             return;
         }
         this.unflushed.delete(id);
         this.unflushedBytes -= turn.record.length;
-        this.keepReadable(turn);
-        this.bySegment.set(turn.segment, this.bySegment.get(turn.segment)! - 1);
+        this.cacheFlushed(turn);
+        this.unflushedBySegment.set(turn.segment, this.unflushedBySegment.get(turn.segment)! - 1);
     }
 
-    /** Segments hold nothing of use once their turns are in the store; notes about others may be lost. */
-    private dropUnneeded(): void {
-        if (this.appending > 0) {
+    /** Deletes segments whose turns are all in the store. Their `flushed` entries may be lost without harm. */
+    private removeFlushedSegments(): void {
+        if (this.appendsInFlight > 0) {
             return;
         }
-        for (const [segment, left] of this.bySegment) {
-            if (left === 0) {
-                void this.dropSegment(segment);
+        for (const [segment, unflushedTurns] of this.unflushedBySegment) {
+            if (unflushedTurns === 0) {
+                void this.removeSegment(segment);
             }
         }
     }
 
-    private async dropSegment(segment: Segment): Promise<void> {
-        this.bySegment.delete(segment);
+    private async removeSegment(segment: SegmentId): Promise<void> {
+        this.unflushedBySegment.delete(segment);
         try {
-            if (!await this.disk.drop(segment)) {
-                // It is still being written.
-                this.bySegment.set(segment, this.bySegment.get(segment) ?? 0);
+            if (!await this.disk.removeSegment(segment)) {
+                // The active segment stays registered until it is closed.
+                this.unflushedBySegment.set(segment, this.unflushedBySegment.get(segment) ?? 0);
             }
         }
         catch (err) {
@@ -260,24 +264,24 @@
         }
     }
 
-    private keepReadable({ id, record }: JournalTurn): void {
-        this.readable.set(id, record);
-        this.readableBytes += record.length;
-        for (const [oldest, bytes] of this.readable) {
-            if (this.readableBytes <= maxReadableBytes) {
+    private cacheFlushed({ id, record }: JournaledTurn): void {
+        this.flushedCache.set(id, record);
+        this.flushedCacheBytes += record.length;
+        for (const [oldest, bytes] of this.flushedCache) {
+            if (this.flushedCacheBytes <= maxFlushedCacheBytes) {
                 return;
             }
-            this.readable.delete(oldest);
-            this.readableBytes -= bytes.length;
+            this.flushedCache.delete(oldest);
+            this.flushedCacheBytes -= bytes.length;
         }
     }
 }
 
-const firstGroup = (turns: readonly Kept[]): readonly Kept[] => {
+const firstBatch = (turns: readonly UnflushedTurn[]): readonly UnflushedTurn[] => {
     let bytes = 0;
     const end = turns.findIndex(({ record }, index) => {
         bytes += record.length;
-        return index > 0 && (index >= maxGroup || bytes > maxGroupBytes);
+        return index > 0 && (index >= maxBatchTurns || bytes > maxBatchBytes);
     });
     return end < 0 ? turns : turns.slice(0, end);
 };
--- a/packages/gateway/src/peers/peerClient.ts
+++ b/packages/gateway/src/peers/peerClient.ts
@@ -1,119 +1,122 @@
-/** Questions to one peer over a WebSocket connection, which is opened when it is first needed. */
+/** Requests to one peer over a WebSocket connection, which is opened on first use. */
 import { ProblemError, Progress } from "@marigolddrift/common";
 import { HistoryGoneError, StoreError } from "@marigolddrift/store";
 import { Packr } from "msgpackr";
 import { WebSocket } from "ws";
 
 import { peerName } from "./peerMessages.js";
-import type { AnswerFrame, JournalQuestion, PeerAddress, PeerAnswers, PeerQuestion } from "./peerMessages.js";
+import type { JournalRequest, PeerAddress, PeerRequest, PeerResponses, ResponseFrame } from "./peerMessages.js";
 
-/** Time to open a connection, in milliseconds: a busy process is slow with it, and questions do not wait for all of it. */
+/** Timeout of the handshake. Longer than requests wait for it, because a busy process is slow to accept connections. */
 const handshakeTimeoutMs = 2_000;
 
-/** Time after a first failure in which the peer is not tried again, in milliseconds; it doubles with each further one. */
-const pauseMs = 1_000;
+/** Backoff after the first failure; doubles with each consecutive failure. */
+const initialBackoffMs = 1_000;
 
-/** Longest such time, in milliseconds. */
-const maxPauseMs = 16_000;
+/** Upper limit of the backoff. */
+const maxBackoffMs = 16_000;
 
-/** Time for which a peer that had no answer from the store is not asked for one again, in milliseconds. */
-const relayPauseMs = 2_000;
+/** Time for which a peer is not used as a relay after its store call failed. */
+const relayBackoffMs = 2_000;
 
-/** Shortest unanswered wait that counts as a sign that the peer is gone, in milliseconds. */
-const silenceMs = 150;
+/** Shortest wait without a response after which the peer is suspected to be dead. */
+const minSilenceMs = 150;
 
-type Question = PeerQuestion | JournalQuestion;
+type AnyRequest = PeerRequest | JournalRequest;
 
-interface Pending {
+interface PendingRequest {
     resolve(value: unknown): void;
     reject(err: Error): void;
 }
 
-/** Whether a wait ended by its deadline, and not because another way had answered. */
-const isDeadline = (reason: unknown): boolean => reason instanceof ProblemError && reason.code === "deadline_exceeded";
+/** Whether a request ended by its deadline, rather than because another hedged attempt had succeeded. */
+const isDeadlineExceeded = (reason: unknown): boolean =>
+    reason instanceof ProblemError && reason.code === "deadline_exceeded";
 
 /** A connection to one peer. */
 export class PeerClient {
     private readonly packr = new Packr({ useRecords: false });
-    private readonly pending = new Map<number, Pending>();
+    private readonly pending = new Map<number, PendingRequest>();
     private socket: WebSocket | undefined;
-    private opening: Promise<WebSocket> | undefined;
+    private connecting: Promise<WebSocket> | undefined;
     private nextId = 1;
     private failures = 0;
     private usableFrom = -Infinity;
-    private relaysFrom = -Infinity;
-    /** Time of the monotonic clock at which the peer last sent anything, in milliseconds. */
+    private relayUsableFrom = -Infinity;
+    /** Monotonic time at which the last frame was received from the peer. */
     private lastFrameAt = -Infinity;
 
-    constructor(readonly address: PeerAddress, private readonly key: () => string | undefined) {}
+    constructor(readonly address: PeerAddress, private readonly getKey: () => string | undefined) {}
 
-    /** Whether the peer may be asked now. */
+    /** Whether requests may be sent to the peer, that is, it is not in backoff. */
     get isUsable(): boolean {
         return performance.now() >= this.usableFrom;
     }
 
-    /** Whether the peer may be asked to call the store: the store may turn it away as well. */
+    /** Whether store calls may be relayed through the peer; the store may reject calls of the peer, too. */
     get mayRelay(): boolean {
-        return this.isUsable && performance.now() >= this.relaysFrom;
+        return this.isUsable && performance.now() >= this.relayUsableFrom;
     }
 
-    /** Notes that the peer had no answer from the store. */
+    /** Suspends the peer as a relay after a relayed store call failed. */
     onRelayFailed(): void {
-        this.relaysFrom = performance.now() + relayPauseMs;
+        this.relayUsableFrom = performance.now() + relayBackoffMs;
     }
 
-    /** Host and port, which stay the same when the peer restarts. */
+    /** Host and port, which are stable across restarts of the peer. */
     get name(): string {
         return peerName(this.address);
     }
 
-    /** Opens the connection before a question needs it; a failure only keeps questions from the peer for a while. */
-    async prepare(): Promise<void> {
+    /** Opens the connection before a request needs it. Does not reject: a failure only starts the backoff. */
+    async preconnect(): Promise<void> {
         await this.connect().catch(() => {
-            // `onFailure` has noted it, and the next question that needs the peer says so in the log.
+            // `onFailure` has started the backoff; the next request that needs the peer logs the error.
         });
     }
 
-    /** Whether a question would not have to open a connection. */
+    /** Whether a connection is open. */
     get isConnected(): boolean {
         return this.socket?.readyState === WebSocket.OPEN;
     }
 
-    get isOpening(): boolean {
-        return this.opening !== undefined;
+    get isConnecting(): boolean {
+        return this.connecting !== undefined;
     }
 
-    /** Tells the peer something that the teller does not wait for. */
-    async tell(question: Question, timeoutMs: number): Promise<void> {
+    /** Sends a notification with its own timeout, for callers that do not wait for the response. */
+    async notify(request: AnyRequest, timeoutMs: number): Promise<void> {
         const progress = new Progress(timeoutMs);
         try {
-            await this.ask(question, progress);
+            await this.ask(request, progress);
         }
         finally {
             progress.dispose();
         }
     }
 
-    /** Asks the peer. @throws StoreError if it does not answer. */
-    async ask<K extends Question["kind"]>(
-        question: Extract<Question, { kind: K; }>,
+    /** Sends a request to the peer and waits for the response. @throws StoreError if there is none. */
+    async ask<K extends AnyRequest["kind"]>(
+        request: Extract<AnyRequest, { kind: K; }>,
         progress: Progress,
-    ): Promise<PeerAnswers[K]> {
+    ): Promise<PeerResponses[K]> {
         const id = this.nextId++;
         const startedAt = performance.now();
         let sentAt: number | undefined;
         try {
             const socket = await progress.race(this.connect());
-            const answer = new Promise<unknown>((resolve, reject) => this.pending.set(id, { resolve, reject }));
-            socket.send(this.packr.pack({ id, leftMs: progress.leftMs, question }));
+            const response = new Promise<unknown>((resolve, reject) => this.pending.set(id, { resolve, reject }));
+            socket.send(this.packr.pack({ id, leftMs: progress.leftMs, question: request }));
             sentAt = performance.now();
-            const value = await progress.race(answer) as PeerAnswers[K];
+            const value = await progress.race(response) as PeerResponses[K];
             this.failures = 0;
             return value;
         }
         catch (err) {
-            if (isDeadline(progress.signal.reason) && performance.now() - (sentAt ?? startedAt) >= silenceMs) {
-                this.onSilent(sentAt);
+            if (
+                isDeadlineExceeded(progress.signal.reason) && performance.now() - (sentAt ?? startedAt) >= minSilenceMs
+            ) {
+                this.onNoResponse(sentAt);
             }
             throw err;
         }
@@ -127,14 +130,15 @@
     }
 
     /**
-     * A connection that gave no answer may be dead without a reset; the next question opens a new one. A peer that has sent
-     * something else since the question is only slow, and a connection that is being opened may still become one.
+     * Handles a request without a response. The connection may be dead without a reset, so it is closed and the next
+     * request opens a new one. A peer that has sent another frame since the request is only slow, and a connection that
+     * is still being opened is left to complete.
      *
-     * @param sentAt Time at which the question was sent; undefined if there was no connection yet.
+     * @param sentAt Time at which the request was sent; undefined if there was no connection yet.
      */
-    private onSilent(sentAt: number | undefined): void {
+    private onNoResponse(sentAt: number | undefined): void {
         if (sentAt === undefined) {
-            this.usableFrom = performance.now() + pauseMs;
+            this.usableFrom = performance.now() + initialBackoffMs;
         }
         else if (this.lastFrameAt < sentAt) {
             this.onFailure();
@@ -143,7 +147,7 @@
     }
 
     private onFailure(): void {
-        this.usableFrom = performance.now() + Math.min(maxPauseMs, pauseMs * 2 ** this.failures);
+        this.usableFrom = performance.now() + Math.min(maxBackoffMs, initialBackoffMs * 2 ** this.failures);
         this.failures += 1;
     }
 
@@ -151,8 +155,8 @@
         if (this.socket !== undefined && this.isConnected) {
             return Promise.resolve(this.socket);
         }
-        this.opening ??= this.open().finally(() => this.opening = undefined);
-        return this.opening;
+        this.connecting ??= this.open().finally(() => this.connecting = undefined);
+        return this.connecting;
     }
 
     private open(): Promise<WebSocket> {
@@ -160,7 +164,7 @@
         const socket = new WebSocket(`ws://${host}:${port}/peer`, {
             handshakeTimeout: handshakeTimeoutMs,
             perMessageDeflate: false,
-            headers: { authorization: `Bearer ${this.key() ?? ""}` },
+            headers: { authorization: `Bearer ${this.getKey() ?? ""}` },
         });
         return new Promise((resolve, reject) => {
             socket.on("open", () => {
@@ -168,16 +172,16 @@
                 this.usableFrom = -Infinity;
                 resolve(socket);
             });
-            socket.on("message", (data: Buffer) => this.onAnswer(this.packr.unpack(data) as AnswerFrame));
+            socket.on("message", (data: Buffer) => this.onResponse(this.packr.unpack(data) as ResponseFrame));
             socket.on("error", err => {
                 this.onFailure();
-                reject(new StoreError("no", `peer ${this.address.instance} is not reachable`, err));
+                reject(new StoreError("no", `cannot connect to peer ${this.address.instance}`, err));
             });
             socket.on("close", () => this.onClosed(socket));
         });
     }
 
-    private onAnswer(frame: AnswerFrame): void {
+    private onResponse(frame: ResponseFrame): void {
         this.lastFrameAt = performance.now();
         const pending = this.pending.get(frame.id);
         if (frame.error === undefined) {
@@ -194,7 +198,7 @@
         if (this.socket === socket) {
             this.socket = undefined;
         }
-        const err = new StoreError("unknown", `the connection to peer ${this.address.instance} was lost`);
+        const err = new StoreError("unknown", `connection to peer ${this.address.instance} closed before the response`);
         this.pending.forEach(pending => pending.reject(err));
     }
 }
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -1,11 +1,11 @@
-/** What instances ask each other. */
+/** Requests and responses between instances. */
 import type { WorkerLoad } from "@marigolddrift/policy";
 import type { Compare, Put, StoreChange, StoredValue } from "@marigolddrift/store";
 import { Packr } from "msgpackr";
 
-/** Changes that a peer has followed. */
+/** Store changes that a peer has received from its own watch. */
 export interface FollowedBatch {
-    /** As {@link packChanges} makes them. */
+    /** Encoded by {@link packChanges}; deflated if `isCompressed`. */
     readonly changes: Buffer;
     readonly revision: number;
     readonly isCompressed: boolean;
@@ -13,34 +13,34 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Encodes changes of the store. */
+/** Encodes store changes. */
 export const packChanges = (changes: readonly StoreChange[]): Buffer => packr.pack(changes);
 
-/** Decodes changes of the store. */
+/** Decodes store changes. */
 export const unpackChanges = (bytes: Buffer): StoreChange[] => packr.unpack(bytes) as StoreChange[];
 
-/** A turn as it is handed to a machine that keeps it on its disk. */
-export interface JournalTurn {
+/** A copy of a turn as it is sent to a journal server. */
+export interface JournaledTurn {
     readonly id: string;
-    /** The packed record. */
+    /** The encoded turn record. */
     readonly record: Buffer;
-    /** Time for which the turn can be continued, in milliseconds. */
+    /** Time for which the turn can be continued. */
     readonly keepMs: number;
-    /** Place of this copy among the copies; the first one goes to the store. */
+    /** Index of this copy. The copy with index 0 is flushed to the store; the others are flushed only if it was not. */
     readonly copy: number;
-    /** Names of the peers that got the copies. */
+    /** Names of the peers to which the copies were sent first. */
     readonly holders: readonly string[];
 }
 
-/** What a journal says of a turn. */
-export interface JournalAnswer {
+/** Response of a journal server to the lookup of a turn. */
+export interface FindTurnResponse {
     readonly record: Buffer | undefined;
-    /** Whether the journal has seen all that it acknowledged in the time for which turns are kept. */
+    /** Whether the journal holds all turns that it has acknowledged within the retention time. */
     readonly complete: boolean;
 }
 
-/** A question to a peer: calls to the store that it makes for an instance that cannot reach it, and budgets. */
-export type PeerQuestion =
+/** Requests to any peer: relayed store calls, and coordination of state between instances. */
+export type PeerRequest =
     | { readonly kind: "get"; readonly key: string; }
     | { readonly kind: "range"; readonly prefix: string; readonly mayBeStale: boolean; }
     | { readonly kind: "changes"; readonly prefix: string; readonly revision: number; readonly waitMs: number; }
@@ -50,15 +50,15 @@
         readonly puts: readonly Put[];
         readonly removals: readonly string[];
     }
-    /** Changes that the peer has followed itself, without a call to the store. */
+    /** Returns changes that the peer has received from its own watch, without a store call. */
     | { readonly kind: "followed"; readonly prefix: string; readonly revision: number; readonly waitMs: number; }
-    /** The asking instance's calls by upstream; the answer has those of all others that report to the same peer. */
+    /** Reports the sender's load by upstream; the response has the load of all others that report to the same peer. */
     | { readonly kind: "shareLoad"; readonly instance: string; readonly load: WorkerLoad; }
-    /** Find a turn for an instance that does not reach the machines that keep turns. */
+    /** Looks up a turn for an instance that cannot reach the journal servers. */
     | { readonly kind: "loadTurn"; readonly id: string; readonly program: string; }
-    /** Return what is not in use of a program's budget. */
+    /** Asks the peer to return its unspent tokens of a program's budget. */
     | { readonly kind: "returnBudget"; readonly program: string; }
-    /** Reserve tokens of a program's budget for a turn of the asking instance. */
+    /** Reserves tokens of a program's budget for a turn of the sender. */
     | {
         readonly kind: "reserveTokens";
         readonly reservation: string;
@@ -66,69 +66,69 @@
         readonly total: number;
         readonly needed: number;
     }
-    /** The turn of a reservation has ended. */
+    /** Settles a reservation after its turn has ended. */
     | { readonly kind: "settleTokens"; readonly reservation: string; readonly spent: number; };
 
-/** What instances ask machines that keep turns on their disks. */
-export type JournalQuestion =
-    | { readonly kind: "keepTurn"; readonly turn: JournalTurn; }
+/** Requests to journal servers. */
+export type JournalRequest =
+    | { readonly kind: "keepTurn"; readonly turn: JournaledTurn; }
     | { readonly kind: "findTurn"; readonly id: string; }
-    /** Another holder has brought these turns into the store. */
+    /** Notifies the server that another holder has flushed these turns to the store. */
     | { readonly kind: "turnsFlushed"; readonly ids: readonly string[]; };
 
-/** Answers to {@link PeerQuestion} and {@link JournalQuestion}, by kind. */
-export interface PeerAnswers {
+/** Responses to {@link PeerRequest} and {@link JournalRequest}, by kind. */
+export interface PeerResponses {
     get: StoredValue | undefined;
     range: { readonly values: readonly StoredValue[]; readonly revision: number; };
     changes: { readonly changes: readonly StoreChange[]; readonly revision: number; };
     txn: { readonly succeeded: boolean; readonly revision: number; readonly current?: readonly StoredValue[]; };
-    /** The packed record; a missing one does not say that there is no such turn. */
+    /** The encoded turn record; undefined does not mean that the turn does not exist. */
     loadTurn: Buffer | undefined;
     followed: FollowedBatch;
     shareLoad: WorkerLoad;
     returnBudget: boolean;
-    /** `elsewhere` if the asked instance does not keep budgets for others now. */
+    /** `elsewhere` if the peer does not reserve tokens for others; the sender then reserves them itself. */
     reserveTokens: "reserved" | "spent" | "storeAway" | "elsewhere";
     settleTokens: boolean;
-    /** False if the machine takes no turns now. */
+    /** False if the server currently accepts no turns. */
     keepTurn: boolean;
-    findTurn: JournalAnswer;
+    findTurn: FindTurnResponse;
     turnsFlushed: boolean;
 }
 
-/** A question on the wire. */
-export interface QuestionFrame {
+/** A request on the wire. */
+export interface RequestFrame {
     readonly id: number;
     readonly leftMs: number;
-    readonly question: PeerQuestion | JournalQuestion;
+    readonly question: PeerRequest | JournalRequest;
 }
 
-/** An answer on the wire. */
-export interface AnswerFrame {
+/** A response on the wire. */
+export interface ResponseFrame {
     readonly id: number;
     readonly value?: unknown;
-    /** Set if the question failed; `historyGone` asks for a new snapshot. */
+    /** Set if the request failed; after `historyGone`, the sender must read a new snapshot. */
     readonly error?: { readonly name: "historyGone" | "failed"; readonly detail: string; };
 }
 
-/** Where an instance listens for its peers. */
+/** Address at which an instance listens for its peers, and its location. */
 export interface PeerAddress {
     readonly instance: string;
     readonly host: string;
     readonly port: number;
     readonly zone: string;
     readonly region: string;
-    /** Whether the machine keeps turns on its disk; others serve callers. */
+    /** Whether the instance is a journal server; otherwise it is a front instance that serves callers. */
     readonly keepsTurns: boolean;
 }
 
-/** Who an instance is to the peers of its region. */
-export interface PeerSelf {
+/** Identity of this instance towards the peers of its region. */
+export interface LocalInstance {
     readonly instance: string;
     readonly region: string;
-    /** Host and port for peers, the same after a restart. */
+    /** Host and port for peers, stable across restarts. */
     address(): string;
 }
 
-/** Host and port of a peer, which stay the same when it restarts. */
+/** Host and port of a peer, which are stable across restarts. */
 export const peerName = ({ host, port }: Pick<PeerAddress, "host" | "port">): string => `${host}:${port}`;
--- a/packages/gateway/src/peers/peerServer.ts
+++ b/packages/gateway/src/peers/peerServer.ts
@@ -1,4 +1,4 @@
-/** Answers the questions of peers. */
+/** Server for the requests of peers. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { HistoryGoneError } from "@marigolddrift/store";
@@ -10,14 +10,14 @@
 import { WebSocketServer } from "ws";
 import type { WebSocket } from "ws";
 
-import type { AnswerFrame, JournalQuestion, PeerQuestion, QuestionFrame } from "./peerMessages.js";
+import type { JournalRequest, PeerRequest, RequestFrame, ResponseFrame } from "./peerMessages.js";
 
 const maxFrameBytes = 4 * 1024 * 1024;
 
-/** Answers a question; what it throws becomes a failed answer. */
-export type AnswerFunction = (question: PeerQuestion | JournalQuestion, progress: Progress) => Promise<unknown>;
+/** Handles a request. An error that it throws is sent as a failed response. */
+export type RequestHandler = (question: PeerRequest | JournalRequest, progress: Progress) => Promise<unknown>;
 
-/** The port for peers. */
+/** Accepts WebSocket connections from peers that have the shared key. */
 export class PeerServer {
     private readonly packr = new Packr({ useRecords: false });
     private readonly http = createServer();
@@ -30,8 +30,8 @@
     });
 
     constructor(
-        private readonly key: () => string | undefined,
-        private readonly answer: AnswerFunction,
+        private readonly getKey: () => string | undefined,
+        private readonly handleRequest: RequestHandler,
         private readonly log: Logger,
     ) {
         this.server.on("connection", socket => this.onConnection(socket));
@@ -51,14 +51,14 @@
     }
 
     private isAuthorized(req: IncomingMessage): boolean {
-        const key = this.key();
+        const key = this.getKey();
         const sent = Buffer.from(req.headers.authorization ?? "");
         const expected = Buffer.from(`Bearer ${key ?? ""}`);
         const isAuthorized = key !== undefined && sent.length === expected.length && timingSafeEqual(sent, expected);
         if (!isAuthorized) {
-            this.log.warn("peer refused", {
+            this.log.warn("peer connection refused", {
                 from: req.socket.remoteAddress,
-                reason: "it does not have the shared key",
+                reason: "missing or wrong shared key",
             });
         }
         return isAuthorized;
@@ -72,27 +72,27 @@
                 socket.terminate();
                 return;
             }
-            void this.respond(frame).then(answer => socket.send(this.packr.pack(answer)));
+            void this.respond(frame).then(response => socket.send(this.packr.pack(response)));
         });
     }
 
-    private readFrame(data: Buffer): QuestionFrame | undefined {
+    private readFrame(data: Buffer): RequestFrame | undefined {
         try {
-            const frame = this.packr.unpack(data) as Partial<QuestionFrame>;
-            const isWhole = typeof frame.id === "number" && typeof frame.leftMs === "number" &&
+            const frame = this.packr.unpack(data) as Partial<RequestFrame>;
+            const isValid = typeof frame.id === "number" && typeof frame.leftMs === "number" &&
                 typeof frame.question === "object";
-            return isWhole ? frame as QuestionFrame : undefined;
+            return isValid ? frame as RequestFrame : undefined;
         }
         catch (err) {
-            this.log.warn("peer frame refused", { error: asError(err).message });
+            this.log.warn("refused invalid peer frame", { error: asError(err).message });
             return undefined;
         }
     }
 
-    private async respond({ id, leftMs, question }: QuestionFrame): Promise<AnswerFrame> {
+    private async respond({ id, leftMs, question }: RequestFrame): Promise<ResponseFrame> {
         const progress = new Progress(leftMs);
         try {
-            return { id, value: await progress.race(this.answer(question, progress)) };
+            return { id, value: await progress.race(this.handleRequest(question, progress)) };
         }
         catch (err) {
             const name = err instanceof HistoryGoneError ? "historyGone" : "failed";
--- a/packages/gateway/src/peers/peers.ts
+++ b/packages/gateway/src/peers/peers.ts
@@ -1,4 +1,4 @@
-/** The other instances: found through the store, remembered while it is away. */
+/** Discovers the other instances through the store. Known peers are retained while the store is unavailable. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import type { StoredValue, VersionedStore } from "@marigolddrift/store";
@@ -9,22 +9,22 @@
 import type { PeerAddress } from "./peerMessages.js";
 
 const membersPrefix = "marigolddrift/members/";
-const keyName = "marigolddrift/peer-key";
+const sharedKeyName = "marigolddrift/peer-key";
 const keyBytes = 24;
 
-/** Period at which the list of instances is read again, in milliseconds. */
-const refreshMs = 8_000;
+/** Interval at which the member list is refreshed. */
+const refreshIntervalMs = 8_000;
 
-/** Period while the instance is not registered yet, in milliseconds. */
-const retryMs = 500;
+/** Refresh interval until the instance is registered. */
+const registrationRetryMs = 500;
 
 const callTimeoutMs = 1_000;
 
-/** Period at which lost connections are looked for, in milliseconds. */
-const connectedMs = 500;
+/** Interval at which connections are checked while all needed ones are open. */
+const connectionCheckMs = 500;
 
-/** Period at which one missing connection to a near peer is opened, in milliseconds: opening many at once stalls a small machine. */
-const prepareMs = 150;
+/** Interval at which missing connections are opened, one at a time: opening many at once stalls a small machine. */
+const connectIntervalMs = 150;
 
 const addressSchema = z.object({
     instance: z.string(),
@@ -44,138 +44,150 @@
     }
 };
 
-/** Registers this instance and keeps connections to the others. */
+/** Registers this instance, and maintains connections to its peers. */
 export class Peers {
     private readonly clients = new Map<string, PeerClient>();
     private sharedKey: string | undefined;
     private registered = false;
     private stopped = false;
-    private timer: NodeJS.Timeout | undefined;
-    private prepareTimer: NodeJS.Timeout | undefined;
+    private refreshTimer: NodeJS.Timeout | undefined;
+    private connectTimer: NodeJS.Timeout | undefined;
 
     constructor(
         private readonly machine: string,
-        private readonly self: () => PeerAddress,
+        private readonly localAddress: () => PeerAddress,
         private readonly store: VersionedStore,
         private readonly log: Logger,
         private readonly random: () => number = Math.random,
     ) {}
 
-    /** Whether the list names this instance. */
+    /** Whether this instance has been added to the member list. */
     get isRegistered(): boolean {
         return this.registered;
     }
 
-    /** Key that proves that a peer can read the same store. */
+    /** Shared key, which proves that a peer can read the same store. */
     get key(): string | undefined {
         return this.sharedKey;
     }
 
     start(): void {
         void this.refresh();
-        this.prepareNext();
+        this.connectNext();
     }
 
     stop(): void {
         this.stopped = true;
-        clearTimeout(this.timer);
-        clearTimeout(this.prepareTimer);
+        clearTimeout(this.refreshTimer);
+        clearTimeout(this.connectTimer);
         this.clients.forEach(client => client.close());
     }
 
-    /** The peer with an instance id. */
+    /** Returns the peer with an instance id. */
     get(instance: string): PeerClient | undefined {
         return [...this.clients.values()].find(client => client.address.instance === instance);
     }
 
-    /** Peers of a region that serve callers and may be asked. */
+    /** Front instances of a region to which requests may be sent. */
     usableInRegion(region: string): PeerClient[] {
         return [...this.clients.values()].filter(({ address, isUsable }) =>
             !address.keepsTurns && address.region === region && isUsable
         );
     }
 
-    /** All machines that keep turns. */
+    /** All journal servers. */
     get journals(): PeerClient[] {
         return [...this.clients.values()].filter(({ address }) => address.keepsTurns);
     }
 
-    /** A peer by its host and port. */
-    named(name: string): PeerClient | undefined {
+    /** Returns the peer with a name, that is, its host and port. */
+    getByName(name: string): PeerClient | undefined {
         return [...this.clients.values()].find(client => client.name === name);
     }
 
-    /** Resolves once the list is known to hold all machines that are registered now. */
+    /** Reads the current member list: adds all registered peers and removes those that are no longer registered. */
     async reload(progress: Progress): Promise<void> {
         const { values } = await progress.race(this.store.range(membersPrefix, progress));
-        this.onMembers(values);
-        this.forgetOthers(new Set(values.map(({ key }) => key)));
+        this.applyMembers(values);
+        this.removeUnlisted(new Set(values.map(({ key }) => key)));
     }
 
-    /** Removes this instance from the list, so that nobody looks for it. */
+    /** Removes this instance from the member list. */
     async unregister(progress: Progress): Promise<void> {
         await progress.race(this.store.txn([], [], progress, [`${membersPrefix}${this.machine}`]));
     }
 
-    /** A peer that may be asked, of the own region if there is one. */
-    pick(except: ReadonlySet<PeerClient> = new Set()): PeerClient | undefined {
-        const usable = [...this.clients.values()].filter(client => client.mayRelay && !except.has(client));
-        const near = usable.filter(client => client.address.region === this.self().region);
-        const candidates = near.length > 0 ? near : usable;
+    /** Picks a random peer to relay a store call, preferably in this region. */
+    pickRelay(excluded: ReadonlySet<PeerClient> = new Set()): PeerClient | undefined {
+        const usable = [...this.clients.values()].filter(client => client.mayRelay && !excluded.has(client));
+        const sameRegion = usable.filter(client => client.address.region === this.localAddress().region);
+        const candidates = sameRegion.length > 0 ? sameRegion : usable;
         return candidates[Math.floor(this.random() * candidates.length)];
     }
 
-    /** Another instance of the region that serves callers, and to which a connection is open. */
+    /** Picks a random front instance of this region with an open connection. */
     pickFront(): PeerClient | undefined {
-        const fronts = this.usableInRegion(this.self().region).filter(({ isConnected }) => isConnected);
+        const fronts = this.usableInRegion(this.localAddress().region).filter(({ isConnected }) => isConnected);
         return fronts[Math.floor(this.random() * fronts.length)];
     }
 
-    /** Reads the list of instances now. */
+    /** Registers this instance if necessary, and refreshes the member list; the result may be stale. */
     async refresh(): Promise<void> {
-        clearTimeout(this.timer);
+        clearTimeout(this.refreshTimer);
         const progress = new Progress(callTimeoutMs);
         try {
-            this.sharedKey ??= await progress.race(this.loadKey(progress));
+            this.sharedKey ??= await progress.race(this.loadSharedKey(progress));
             await progress.race(this.register(progress));
             const { values } = await progress.race(this.store.range(membersPrefix, progress, { mayBeStale: true }));
-            this.onMembers(values);
+            this.applyMembers(values);
         }
         catch (err) {
-            this.log.info("peers not refreshed", { error: asError(err).message, known: this.clients.size });
+            this.log.info("failed to refresh peers", { error: asError(err).message, known: this.clients.size });
         }
         finally {
             progress.dispose();
         }
         if (!this.stopped) {
-            this.timer = setTimeout(() => void this.refresh(), this.registered ? refreshMs : retryMs);
+            this.refreshTimer = setTimeout(
+                () => void this.refresh(),
+                this.registered ? refreshIntervalMs : registrationRetryMs,
+            );
         }
     }
 
-    /** Opens the next missing connection that a call would otherwise wait for. */
-    private prepareNext(): void {
-        const missing = [...this.clients.values()].filter(client =>
-            this.isNeeded(client.address) && client.isUsable && !client.isConnected && !client.isOpening
+    /** Opens one missing connection in advance, so that no call has to wait for it. */
+    private connectNext(): void {
+        const unconnected = [...this.clients.values()].filter(client =>
+            this.shouldConnect(client.address) && client.isUsable && !client.isConnected && !client.isConnecting
+        );
+        // Journal servers come first, because turns wait for them.
+        const next = unconnected.find(({ address }) => address.keepsTurns) ?? unconnected[0];
+        void next?.preconnect();
+        this.connectTimer = setTimeout(
+            () => this.connectNext(),
+            next === undefined ? connectionCheckMs : connectIntervalMs,
         );
-        // Turns wait for the machines that keep them.
-        const next = missing.find(({ address }) => address.keepsTurns) ?? missing[0];
-        void next?.prepare();
-        this.prepareTimer = setTimeout(() => this.prepareNext(), next === undefined ? connectedMs : prepareMs);
     }
 
-    /** Peers that most calls need: journals, and instances of the region that may keep budgets. */
-    private isNeeded({ keepsTurns, region }: PeerAddress): boolean {
-        const self = this.self();
-        return keepsTurns || (!self.keepsTurns && region === self.region);
+    /** Whether most calls need the peer: journal servers, and front instances that may coordinate budgets. */
+    private shouldConnect({ keepsTurns, region }: PeerAddress): boolean {
+        const local = this.localAddress();
+        return keepsTurns || (!local.keepsTurns && region === local.region);
     }
 
-    /** Reads the shared key, or writes a new one; of several writers one wins. */
-    private async loadKey(progress: Progress): Promise<string | undefined> {
-        const stored = await this.store.get(keyName, progress);
+    /** Reads the shared key, or creates it. If several instances create it concurrently, the first write wins. */
+    private async loadSharedKey(progress: Progress): Promise<string | undefined> {
+        const stored = await this.store.get(sharedKeyName, progress);
         if (stored === undefined) {
             const value = Buffer.from(randomBytes(keyBytes).toString("hex"));
-            const result = await this.store.txn([{ key: keyName, revision: 0 }], [{ key: keyName, value }], progress);
-            return result.succeeded ? value.toString() : (await this.store.get(keyName, progress))?.value.toString();
+            const result = await this.store.txn(
+                [{ key: sharedKeyName, revision: 0 }],
+                [{ key: sharedKeyName, value }],
+                progress,
+            );
+            return result.succeeded ?
+                value.toString() :
+                (await this.store.get(sharedKeyName, progress))?.value.toString();
         }
         return stored.value.toString();
     }
@@ -184,32 +196,32 @@
         if (this.registered) {
             return;
         }
-        const value = Buffer.from(JSON.stringify(this.self()));
+        const value = Buffer.from(JSON.stringify(this.localAddress()));
         await this.store.txn([], [{ key: `${membersPrefix}${this.machine}`, value }], progress);
         this.registered = true;
         this.log.info("registered", { machine: this.machine });
     }
 
-    /** Machines that were emptied have left the list. */
-    private forgetOthers(listed: ReadonlySet<string>): void {
+    /** Removes peers that are no longer registered, such as drained journal servers. */
+    private removeUnlisted(listed: ReadonlySet<string>): void {
         for (const [key, client] of this.clients) {
             if (!listed.has(key)) {
                 this.clients.delete(key);
                 client.close();
-                this.log.info("peer left", { peer: client.address.instance });
+                this.log.info("peer removed", { peer: client.address.instance });
             }
         }
     }
 
-    private onMembers(values: readonly StoredValue[]): void {
-        const own = this.self().instance;
+    private applyMembers(values: readonly StoredValue[]): void {
+        const localInstance = this.localAddress().instance;
         for (const { key, value } of values) {
             const address = parseAddress(value);
             const known = this.clients.get(key);
             if (address === undefined) {
-                this.log.warn("peer entry ignored", { key, reason: "it is not an address" });
+                this.log.warn("peer entry ignored", { key, reason: "invalid address" });
             }
-            else if (address.instance !== own && known?.address.instance !== address.instance) {
+            else if (address.instance !== localInstance && known?.address.instance !== address.instance) {
                 known?.close();
                 this.clients.set(key, new PeerClient(address, () => this.sharedKey));
                 this.log.info("peer found", { peer: address.instance, zone: address.zone });
--- a/packages/gateway/src/peers/relayStore.ts
+++ b/packages/gateway/src/peers/relayStore.ts
@@ -1,4 +1,4 @@
-/** The platform's store, directly or through a peer that still reaches it. */
+/** Access to the platform's store, either directly or relayed through a peer that can still reach it. */
 import type { Logger, Progress } from "@marigolddrift/common";
 import { HistoryGoneError, StoreRefusalError } from "@marigolddrift/store";
 import type {
@@ -13,59 +13,67 @@
 } from "@marigolddrift/store";
 
 import type { PeerClient } from "./peerClient.js";
-import type { PeerQuestion } from "./peerMessages.js";
+import type { PeerRequest } from "./peerMessages.js";
 
-/** Time without an answer after which another way is tried as well, in milliseconds. */
+/** Delay without a response before another attempt is started. */
 const hedgeMs = 180;
 
-/** The same for answers that may be long, in milliseconds: since the last part of the answer. */
-const longHedgeMs = 900;
+/** Hedge delay of `range`, whose responses may be long: measured from the last byte received. */
+const rangeHedgeMs = 900;
 
-/** The same for changes, beyond the time for which the call waits for them, in milliseconds. */
+/** Hedge delay of `changes`, in addition to the time for which the call itself waits for changes. */
 const changesHedgeMs = 500;
 
-/** Time after a failure in which calls go to peers first, in milliseconds; then one finds out whether the store answers. */
-const doubtMs = 1_000;
+/** Time after a failed direct call for which peers are tried first; then a direct call probes the store again. */
+const directSuspicionMs = 1_000;
 
-/** Peers that are asked for one call at most: many of them may be turned away, too. */
-const maxPeers = 3;
+/** Maximum number of peers per call. More than one, because the store may reject calls of many peers, too. */
+const maxRelayPeers = 3;
 
-type DirectCall<T> = (own: Progress) => Promise<T>;
-type AskPeer = (peer: PeerClient, progress: Progress) => Promise<unknown>;
+type DirectCall<T> = (callProgress: Progress) => Promise<T>;
+type PeerCall = (peer: PeerClient, progress: Progress) => Promise<unknown>;
 
 /**
- * Makes each call directly, or through a peer while the store turns this instance away; another way is tried on an error and
- * after a silence. The first answer counts. Writes may so be made twice, which their conditions and unique values allow.
+ * Makes each call directly, or through a peer while the store rejects the calls of this instance. An error or the hedge
+ * delay starts another attempt, and the first response wins. A write may therefore be made twice, which is safe because
+ * writes are conditional and their values unique.
  */
 export class RelayStore implements VersionedStore {
-    private failedAt = -Infinity;
+    private directFailedAt = -Infinity;
 
     constructor(
         private readonly direct: VersionedStore,
-        private readonly pick: (except: ReadonlySet<PeerClient>) => PeerClient | undefined,
+        private readonly pickPeer: (excluded: ReadonlySet<PeerClient>) => PeerClient | undefined,
         private readonly log: Logger,
     ) {}
 
     get(key: string, progress: Progress): Promise<StoredValue | undefined> {
-        return this.call(own => this.direct.get(key, own), ask({ kind: "get", key }), hedgeMs, progress);
+        return this.call(
+            callProgress => this.direct.get(key, callProgress),
+            askPeer({ kind: "get", key }),
+            hedgeMs,
+            progress,
+        );
     }
 
     range(prefix: string, progress: Progress, options: RangeOptions = {}): Promise<Snapshot> {
-        const question = { kind: "range" as const, prefix, mayBeStale: options.mayBeStale ?? false };
-        // Instances that all fetch a long answer once more through peers fill a narrow link for good.
+        const request = { kind: "range" as const, prefix, mayBeStale: options.mayBeStale ?? false };
+        // If all instances hedged while a long response is arriving, the transfers would saturate a slow link for good.
         let lastByteAt = -Infinity;
         const onBytes = (): void => {
             lastByteAt = performance.now();
             options.onBytes?.();
         };
-        const direct = (own: Progress): Promise<Snapshot> => this.direct.range(prefix, own, { ...options, onBytes });
-        return this.call(direct, ask(question), longHedgeMs, progress, () => lastByteAt);
+        const direct = (callProgress: Progress): Promise<Snapshot> =>
+            this.direct.range(prefix, callProgress, { ...options, onBytes });
+        return this.call(direct, askPeer(request), rangeHedgeMs, progress, () => lastByteAt);
     }
 
     changes(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
-        const question = { kind: "changes" as const, prefix, revision, waitMs };
-        const direct = (own: Progress): Promise<ChangeBatch> => this.direct.changes(prefix, revision, waitMs, own);
-        return this.call(direct, ask(question), waitMs + changesHedgeMs, progress);
+        const request = { kind: "changes" as const, prefix, revision, waitMs };
+        const direct = (callProgress: Progress): Promise<ChangeBatch> =>
+            this.direct.changes(prefix, revision, waitMs, callProgress);
+        return this.call(direct, askPeer(request), waitMs + changesHedgeMs, progress);
     }
 
     txn(
@@ -74,102 +82,106 @@
         progress: Progress,
         removals: readonly string[] = [],
     ): Promise<TxnResult> {
-        const question = { kind: "txn" as const, compares, puts, removals };
-        const direct = (own: Progress): Promise<TxnResult> => this.direct.txn(compares, puts, own, removals);
-        return this.call(direct, ask(question), hedgeMs, progress);
+        const request = { kind: "txn" as const, compares, puts, removals };
+        const direct = (callProgress: Progress): Promise<TxnResult> =>
+            this.direct.txn(compares, puts, callProgress, removals);
+        return this.call(direct, askPeer(request), hedgeMs, progress);
     }
 
-    private get isDoubtful(): boolean {
-        return performance.now() - this.failedAt < doubtMs;
+    private get isDirectSuspect(): boolean {
+        return performance.now() - this.directFailedAt < directSuspicionMs;
     }
 
     private call<T>(
         direct: DirectCall<T>,
-        viaPeer: AskPeer,
-        silenceMs: number,
+        callPeer: PeerCall,
+        hedgeAfterMs: number,
         progress: Progress,
         lastByteAt: () => number = () => -Infinity,
     ): Promise<T> {
-        const asked = new Set<PeerClient>();
-        const askPeer = (own: Progress): Promise<T> | undefined => {
-            const peer = asked.size < maxPeers ? this.pick(asked) : undefined;
+        const askedPeers = new Set<PeerClient>();
+        const startPeerCall = (callProgress: Progress): Promise<T> | undefined => {
+            const peer = askedPeers.size < maxRelayPeers ? this.pickPeer(askedPeers) : undefined;
             if (peer === undefined) {
                 return undefined;
             }
-            asked.add(peer);
-            return viaPeer(peer, own).then(value => value as T, (err: unknown) => {
-                if (!own.signal.aborted) {
+            askedPeers.add(peer);
+            return callPeer(peer, callProgress).then(value => value as T, (err: unknown) => {
+                if (!callProgress.signal.aborted) {
                     peer.onRelayFailed();
                 }
                 throw err;
             });
         };
-        let isDirectOpen = true;
-        const askStore = (own: Progress): Promise<T> | undefined => {
-            if (!isDirectOpen) {
+        let isDirectUntried = true;
+        const startDirectCall = (callProgress: Progress): Promise<T> | undefined => {
+            if (!isDirectUntried) {
                 return undefined;
             }
-            isDirectOpen = false;
-            return direct(own).catch((err: unknown) => {
-                if (!isFinal(err) && !own.signal.aborted) {
+            isDirectUntried = false;
+            return direct(callProgress).catch((err: unknown) => {
+                if (!isDefinitive(err) && !callProgress.signal.aborted) {
                     this.onDirectFailure(err);
                 }
                 throw err;
             });
         };
-        const next = this.isDoubtful ?
-            (own: Progress) => askPeer(own) ?? askStore(own) :
-            (own: Progress) => askStore(own) ?? askPeer(own);
-        return firstAnswer(next, silenceMs, progress, lastByteAt);
+        const startNext = this.isDirectSuspect ?
+            (callProgress: Progress) => startPeerCall(callProgress) ?? startDirectCall(callProgress) :
+            (callProgress: Progress) => startDirectCall(callProgress) ?? startPeerCall(callProgress);
+        return hedgedCall(startNext, hedgeAfterMs, progress, lastByteAt);
     }
 
     private onDirectFailure(err: unknown): void {
-        if (!this.isDoubtful) {
-            this.log.info("store call relayed", { error: String(err), reason: "the direct call failed" });
+        if (!this.isDirectSuspect) {
+            this.log.info("store call relayed", {
+                error: String(err),
+                reason: "direct store call failed",
+            });
         }
-        this.failedAt = performance.now();
+        this.directFailedAt = performance.now();
     }
 }
 
-/** Tries one way after the other until one answers. */
-const firstAnswer = <T>(
-    next: (own: Progress) => Promise<T> | undefined,
-    silenceMs: number,
+/** Starts one attempt after another until one succeeds or none is left. */
+const hedgedCall = <T>(
+    startNext: (callProgress: Progress) => Promise<T> | undefined,
+    hedgeAfterMs: number,
     progress: Progress,
     lastByteAt: () => number,
 ): Promise<T> =>
     new Promise<T>((resolve, reject) => {
-        // Ends the other ways when one has answered: a call left alone on a silent connection would hold it for ever.
-        const own = progress.child(progress.leftMs);
-        let open = 0;
+        // Aborts the other attempts when one has succeeded: an abandoned call would hold a silent connection forever.
+        const callProgress = progress.child(progress.leftMs);
+        let openAttempts = 0;
         let timer: NodeJS.Timeout | undefined;
         const finish = (settle: () => void): void => {
             clearTimeout(timer);
             settle();
-            own.abort(new Error("the call was answered another way"));
+            callProgress.abort(new Error("another attempt completed the call"));
         };
         const start = (): boolean => {
-            const way = own.signal.aborted ? undefined : next(own);
-            if (way === undefined) {
+            const attempt = callProgress.signal.aborted ? undefined : startNext(callProgress);
+            if (attempt === undefined) {
                 return false;
             }
-            open += 1;
+            openAttempts += 1;
             clearTimeout(timer);
-            timer = setTimeout(onSilence, silenceMs);
-            own.race(way).then(value => finish(() => resolve(value)), onError);
+            timer = setTimeout(onHedgeTimer, hedgeAfterMs);
+            callProgress.race(attempt).then(value => finish(() => resolve(value)), onError);
             return true;
         };
-        const onSilence = (): void => {
-            const quietMs = performance.now() - lastByteAt();
-            if (quietMs < silenceMs) {
-                timer = setTimeout(onSilence, silenceMs - quietMs);
+        const onHedgeTimer = (): void => {
+            const silentMs = performance.now() - lastByteAt();
+            if (silentMs < hedgeAfterMs) {
+                timer = setTimeout(onHedgeTimer, hedgeAfterMs - silentMs);
                 return;
             }
             start();
         };
         const onError = (err: unknown): void => {
-            open -= 1;
-            if (isFinal(err) || (!start() && open === 0)) {
+            openAttempts -= 1;
+            if (isDefinitive(err) || (!start() && openAttempts === 0)) {
                 finish(() => reject(err));
             }
         };
@@ -178,28 +190,28 @@
         }
     });
 
-/** Answers that another way to the store would not change. */
-const isFinal = (err: unknown): boolean =>
+/** Whether an error is the definitive response of the store, which another attempt would not change. */
+const isDefinitive = (err: unknown): boolean =>
     err instanceof HistoryGoneError || (err instanceof StoreRefusalError && !err.isBusy);
 
-const ask =
-    <K extends PeerQuestion["kind"]>(question: Extract<PeerQuestion, { kind: K; }>): AskPeer => (peer, progress) =>
-        peer.ask(question, progress);
+const askPeer =
+    <K extends PeerRequest["kind"]>(request: Extract<PeerRequest, { kind: K; }>): PeerCall => (peer, progress) =>
+        peer.ask(request, progress);
 
-/** Makes a peer's call to the store; never relayed further. */
-export const answerStoreQuestion = async (
+/** Makes a store call on behalf of a peer. The call is never relayed further. */
+export const handleStoreRequest = async (
     store: VersionedStore,
-    question: Extract<PeerQuestion, { kind: "get" | "range" | "changes" | "txn"; }>,
+    request: Extract<PeerRequest, { kind: "get" | "range" | "changes" | "txn"; }>,
     progress: Progress,
 ): Promise<unknown> => {
-    switch (question.kind) {
+    switch (request.kind) {
         case "get":
-            return await store.get(question.key, progress);
+            return await store.get(request.key, progress);
         case "range":
-            return await store.range(question.prefix, progress, { mayBeStale: question.mayBeStale });
+            return await store.range(request.prefix, progress, { mayBeStale: request.mayBeStale });
         case "changes":
-            return await store.changes(question.prefix, question.revision, question.waitMs, progress);
+            return await store.changes(request.prefix, request.revision, request.waitMs, progress);
         case "txn":
-            return await store.txn(question.compares, question.puts, progress, question.removals);
+            return await store.txn(request.compares, request.puts, progress, request.removals);
     }
 };
--- a/packages/gateway/src/state/regionReads.ts
+++ b/packages/gateway/src/state/regionReads.ts
@@ -9,7 +9,7 @@
 
 import type { PeerClient } from "../peers/peerClient.js";
 import { packChanges, unpackChanges } from "../peers/peerMessages.js";
-import type { FollowedBatch, PeerSelf } from "../peers/peerMessages.js";
+import type { FollowedBatch, LocalInstance } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 import type { ChangeFeed } from "./changeFeed.js";
 
@@ -37,7 +37,7 @@
     private lastSent: { readonly key: string; readonly packed: Packed; } | undefined;
 
     constructor(
-        private readonly self: PeerSelf,
+        private readonly self: LocalInstance,
         private readonly store: VersionedStore,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly feed: ChangeFeed,
--- a/packages/gateway/src/turns/storeArchive.ts
+++ b/packages/gateway/src/turns/storeArchive.ts
@@ -1,4 +1,4 @@
-/** Keeps turns in the platform's store. */
+/** Saves turns in the platform's store. */
 import { asError, ProblemError } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
@@ -7,21 +7,21 @@
 import { RecordRemover } from "./recordRemover.js";
 import { packTurn, unpackTurn } from "./turnRecord.js";
 import type { TurnRecord } from "./turnRecord.js";
-import type { TurnArchive, TurnName, TurnToKeep } from "./turnStore.js";
+import type { TurnArchive, TurnRef, TurnToSave } from "./turnStore.js";
 
-/** Time that one read may take, in milliseconds. */
+/** Timeout of one read. */
 const readTimeoutMs = 600;
 
-/** Pause before a read is tried again, in milliseconds. */
-const retryMs = 50;
+/** Delay before a failed read is retried. */
+const retryDelayMs = 50;
 
-/** When a caller may ask again for a turn that could not be read, in seconds. */
+/** Retry delay for callers when a turn could not be read. */
 const retryAfterSeconds = 0.5;
 
 /** Key of a turn in the store. */
 export const turnKey = (id: string): string => `marigolddrift/turns/${encodeURIComponent(id)}`;
 
-/** Writes each turn once. */
+/** Archive that writes each turn once, directly to the store. */
 export class StoreArchive implements TurnArchive {
     private readonly remover: RecordRemover;
 
@@ -33,13 +33,13 @@
         this.remover = new RecordRemover(store, log);
     }
 
-    async save({ turn, keepMs }: TurnToKeep, progress: Progress): Promise<void> {
+    async save({ turn, keepMs }: TurnToSave, progress: Progress): Promise<void> {
         const key = turnKey(turn.id);
         await this.writer.put({ key, expected: 0, value: packTurn(turn) }, progress);
-        this.remover.add(key, keepMs);
+        this.remover.schedule(key, keepMs);
     }
 
-    async load({ id }: TurnName, progress: Progress): Promise<TurnRecord | undefined> {
+    async load({ id }: TurnRef, progress: Progress): Promise<TurnRecord | undefined> {
         for (;;) {
             const attempt = progress.child(readTimeoutMs);
             try {
@@ -47,7 +47,7 @@
                 return stored === undefined ? undefined : unpackTurn(stored.value);
             }
             catch (err) {
-                await this.onReadError(id, asError(err), progress);
+                await this.waitBeforeRetry(id, asError(err), progress);
             }
             finally {
                 attempt.dispose();
@@ -59,15 +59,15 @@
         this.remover.close();
     }
 
-    /** Reads are tried again for as long as the caller has time for an answer afterwards. */
-    private async onReadError(id: string, err: Error, progress: Progress): Promise<void> {
+    /** Waits before the next attempt. Throws if too little time is left for another read and the caller's response. */
+    private async waitBeforeRetry(id: string, err: Error, progress: Progress): Promise<void> {
         progress.check();
         if (progress.leftMs < 2 * readTimeoutMs) {
-            this.log.warn("turn not readable", { turn: id, error: err.message, leftMs: Math.round(progress.leftMs) });
+            this.log.warn("failed to read turn", { turn: id, error: err.message, leftMs: Math.round(progress.leftMs) });
             throw new ProblemError("not_durable", "notRun", "The store did not say whether the turn exists.", {
                 retryAfterSeconds,
             });
         }
-        await progress.sleep(retryMs);
+        await progress.sleep(retryDelayMs);
     }
 }
--- a/packages/gateway/src/turns/turnRecord.ts
+++ b/packages/gateway/src/turns/turnRecord.ts
@@ -1,21 +1,21 @@
-/** A turn that has ended, as it is kept for the turns that continue it. */
+/** Stored record of a completed turn, which later turns continue. */
 import { Packr } from "msgpackr";
 
 /**
- * Immutable once written. The conversation up to and with the turn is that of `base`, if there is one, and then `tail`:
- * short conversations are read with one call, and long ones are not written again with each turn.
+ * Immutable once written. The conversation up to and including this turn is that of `base`, if set, followed by `tail`:
+ * a short conversation is read with one call, and a long one is not rewritten with each turn.
  */
 export interface TurnRecord {
-    /** Id of the attempt that made the turn. */
+    /** Id of the attempt that generated the turn. */
     readonly id: string;
-    /** The turn whose conversation comes first. */
+    /** Id of the turn whose conversation precedes `tail`. */
     readonly base: string | undefined;
-    /** Inputs and outputs of the turns after the base, with this one; each event's data ends with a line feed. */
+    /** Inputs and outputs of the turns after the base, including this one; each event's data ends with a line feed. */
     readonly tail: Buffer;
 }
 
-/** Size of a tail from which on the next turn begins a new one, in bytes. */
-const maxTailBytes = 32 * 1024;
+/** Tail size from which the next turn starts a new tail. */
+const tailRolloverBytes = 32 * 1024;
 
 const packr = new Packr({ useRecords: false });
 
@@ -25,16 +25,16 @@
 /** Decodes a turn. */
 export const unpackTurn = (bytes: Buffer): TurnRecord => packr.unpack(bytes) as TurnRecord;
 
-/** The record of a turn that continues another, or begins a conversation. */
+/** Creates the record of a turn that continues another or starts a conversation. */
 export const createTurn = (id: string, previous: TurnRecord | undefined, input: Buffer, output: Buffer): TurnRecord => {
     const added = [input, output];
     if (previous === undefined) {
         return { id, base: undefined, tail: Buffer.concat(added) };
     }
-    return previous.tail.length < maxTailBytes ?
+    return previous.tail.length < tailRolloverBytes ?
         { id, base: previous.base, tail: Buffer.concat([previous.tail, ...added]) } :
         { id, base: previous.id, tail: Buffer.concat(added) };
 };
 
-/** Bytes that a record takes in memory, roughly. */
-export const turnBytes = (turn: TurnRecord): number => turn.tail.length + 200;
+/** Approximate memory usage of a record. */
+export const turnMemoryBytes = (turn: TurnRecord): number => turn.tail.length + 200;
--- a/packages/gateway/src/turns/turnStore.ts
+++ b/packages/gateway/src/turns/turnStore.ts
@@ -1,62 +1,62 @@
-/** Keeps turns, and builds the prompt of a turn that continues others. */
+/** Saves turns and loads the conversation that a new turn continues. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 
-import { turnBytes } from "./turnRecord.js";
+import { turnMemoryBytes } from "./turnRecord.js";
 import type { TurnRecord } from "./turnRecord.js";
 
-/** Bytes of records that stay in memory. */
-const cacheBytes = 24 * 1024 * 1024;
+/** Memory limit of the record cache. */
+const maxCacheBytes = 24 * 1024 * 1024;
 
-/** A turn, and the program whose turns are kept together. */
-export interface TurnName {
+/** Identifies a turn. The program determines which journal servers hold it. */
+export interface TurnRef {
     readonly id: string;
     readonly program: string;
 }
 
-/** A turn that is to be kept. */
-export interface TurnToKeep {
+/** A turn to save. */
+export interface TurnToSave {
     readonly turn: TurnRecord;
     readonly program: string;
-    /** Time for which it can be continued, in milliseconds. */
+    /** Time for which the turn can be continued. */
     readonly keepMs: number;
 }
 
-/** Where turns are kept durably. */
+/** Durable storage of turns. */
 export interface TurnArchive {
-    /** Resolves once the record survives all losses that the settings tolerate. */
-    save(kept: TurnToKeep, progress: Progress): Promise<void>;
-    /** Resolves to undefined only if it is certain that there is no such turn. */
-    load(name: TurnName, progress: Progress): Promise<TurnRecord | undefined>;
+    /** Resolves once the record is durable, that is, it survives as many failures as the settings tolerate. */
+    save(turnToSave: TurnToSave, progress: Progress): Promise<void>;
+    /** Resolves to undefined only if the turn certainly does not exist. */
+    load(ref: TurnRef, progress: Progress): Promise<TurnRecord | undefined>;
 }
 
 /** The conversation that a turn continues. */
 export interface Conversation {
-    /** Its last turn. */
+    /** Last turn of the conversation. */
     readonly last: TurnRecord;
-    /** Inputs and outputs of its turns in order. */
+    /** Inputs and outputs of all turns in order. */
     readonly history: Buffer;
 }
 
-/** Turns in memory in front of an archive. */
+/** In-memory LRU cache in front of an archive. */
 export class TurnStore {
     private readonly cache = new Map<string, TurnRecord>();
     private cachedBytes = 0;
 
     constructor(private readonly archive: TurnArchive, private readonly log: Logger) {}
 
-    /** Makes a turn durable. */
-    async save(kept: TurnToKeep, progress: Progress): Promise<void> {
-        await this.archive.save(kept, progress);
-        this.remember(kept.turn);
+    /** Saves a turn durably and caches it. */
+    async save(turnToSave: TurnToSave, progress: Progress): Promise<void> {
+        await this.archive.save(turnToSave, progress);
+        this.addToCache(turnToSave.turn);
     }
 
     /**
      * Loads the conversation that ends with a turn.
      *
-     * @throws ProblemError `unknown_turn` if it is certain that there is no such turn.
+     * @throws ProblemError `unknown_turn` if the turn certainly does not exist.
      */
-    async conversation({ id: last, program }: TurnName, progress: Progress): Promise<Conversation> {
+    async loadConversation({ id: last, program }: TurnRef, progress: Progress): Promise<Conversation> {
         const isCached = this.cache.has(last);
         const startedAt = performance.now();
         const turn = await this.load({ id: last, program }, progress);
@@ -65,13 +65,13 @@
         }
         const tails = [turn.tail];
         for (let base = turn.base; base !== undefined;) {
-            const before: TurnRecord | undefined = await this.load({ id: base, program }, progress);
-            if (before === undefined) {
-                this.log.warn("conversation has a gap", { turn: last, missing: base });
+            const earlier: TurnRecord | undefined = await this.load({ id: base, program }, progress);
+            if (earlier === undefined) {
+                this.log.warn("an earlier turn of the conversation is missing", { turn: last, missing: base });
                 throw new ProblemError("unknown_turn", "notRun", "A turn of the conversation is no longer kept.");
             }
-            tails.unshift(before.tail);
-            base = before.base;
+            tails.unshift(earlier.tail);
+            base = earlier.base;
         }
         if (!isCached) {
             const ms = Math.round(performance.now() - startedAt);
@@ -80,33 +80,33 @@
         return { last: turn, history: tails.length === 1 ? turn.tail : Buffer.concat(tails) };
     }
 
-    private async load(name: TurnName, progress: Progress): Promise<TurnRecord | undefined> {
-        const { id } = name;
+    private async load(ref: TurnRef, progress: Progress): Promise<TurnRecord | undefined> {
+        const { id } = ref;
         const cached = this.cache.get(id);
         if (cached !== undefined) {
             this.cache.delete(id);
             this.cache.set(id, cached);
             return cached;
         }
-        const turn = await this.archive.load(name, progress);
+        const turn = await this.archive.load(ref, progress);
         if (turn !== undefined) {
-            this.remember(turn);
+            this.addToCache(turn);
         }
         return turn;
     }
 
-    private remember(turn: TurnRecord): void {
+    private addToCache(turn: TurnRecord): void {
         if (this.cache.has(turn.id)) {
             return;
         }
         this.cache.set(turn.id, turn);
-        this.cachedBytes += turnBytes(turn);
+        this.cachedBytes += turnMemoryBytes(turn);
         for (const [id, oldest] of this.cache) {
-            if (this.cachedBytes <= cacheBytes) {
+            if (this.cachedBytes <= maxCacheBytes) {
                 return;
             }
             this.cache.delete(id);
-            this.cachedBytes -= turnBytes(oldest);
+            this.cachedBytes -= turnMemoryBytes(oldest);
         }
     }
 }
--- a/packages/gateway/src/upstreams/sharedLoad.ts
+++ b/packages/gateway/src/upstreams/sharedLoad.ts
@@ -5,7 +5,7 @@
 import type { WorkerLoad } from "@marigolddrift/policy";
 
 import type { PeerClient } from "../peers/peerClient.js";
-import type { PeerSelf } from "../peers/peerMessages.js";
+import type { LocalInstance } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 
 /** Period of the reports, in milliseconds: about the time in which a busy region places one call on each upstream. */
@@ -37,7 +37,7 @@
     private readonly timer: NodeJS.Timeout;
 
     constructor(
-        private readonly self: PeerSelf,
+        private readonly self: LocalInstance,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly ownLoad: () => WorkerLoad,
         private readonly log: Logger,
--- a/tests/gateway/budgets.test.ts
+++ b/tests/gateway/budgets.test.ts
@@ -6,17 +6,17 @@
 
 import { FakeStore } from "../fakeStore.js";
 
-interface PeerBudgets {
+interface Fleet {
     readonly instances: Map<string, Budgets>;
 }
 
-const createInstance = (name: string, store: FakeStore, { instances }: PeerBudgets): Budgets => {
+const createInstance = (name: string, store: FakeStore, { instances }: Fleet): Budgets => {
     const peers = {
         refresh: async () => {},
         get: (instance: string) => {
             const budgets = instances.get(instance);
-            const ask = async (question: { program: string; }, progress: Progress) =>
-                budgets!.returnFor(question.program, progress);
+            const ask = async (request: { program: string; }, progress: Progress) =>
+                budgets!.returnUnspent(request.program, progress);
             return budgets === undefined ? undefined : { ask } as never;
         },
     };
@@ -26,7 +26,7 @@
 };
 
 describe("budgets", () => {
-    it("should spend a budget to the last turn that it holds, over two instances", async () => {
+    it("should grant turns from two instances until the budget is too small for another turn", async () => {
         const store = new FakeStore();
         const fleet = { instances: new Map<string, Budgets>() };
         const [a, b] = [createInstance("a", store, fleet), createInstance("b", store, fleet)];
@@ -42,7 +42,7 @@
         [a, b].forEach(budgets => budgets.close());
     });
 
-    it("should write a record for every other turn at most while half of a budget is free", async () => {
+    it("should write the record at most every second turn while half of the budget is unallocated", async () => {
         const store = new FakeStore();
         const budgets = createInstance("a", store, { instances: new Map() });
         for (let turn = 0; turn < 8; turn++) {
@@ -52,14 +52,14 @@
         budgets.close();
     });
 
-    it("should say that a turn has not run when the store does not say what others hold", async () => {
+    it("should reject a turn as not run when the store fails after another instance has returned tokens", async () => {
         const store = new FakeStore();
         const fleet = { instances: new Map<string, Budgets>() };
         const [a, b] = [createInstance("a", store, fleet), createInstance("b", store, fleet)];
         (await a.reserve("q", 200, 100, new Progress(5_000))).settle(0);
-        const returning = a.returnFor.bind(a);
-        a.returnFor = async (program, progress) => {
-            const returned = await returning(program, progress);
+        const returnUnspent = a.returnUnspent.bind(a);
+        a.returnUnspent = async (program, progress) => {
+            const returned = await returnUnspent(program, progress);
             store.fault = "down";
             return returned;
         };
@@ -67,7 +67,7 @@
         [a, b].forEach(budgets => budgets.close());
     });
 
-    it("should leave a program enough when all instances that serve it crash at once", async () => {
+    it("should leave a program enough budget when all instances that serve it crash at once", async () => {
         const store = new FakeStore();
         const fleet = { instances: new Map<string, Budgets>() };
         for (const name of ["a", "b", "c", "d"]) {
@@ -83,7 +83,7 @@
         next.close();
     });
 
-    it("should count what a dead instance has taken as spent", async () => {
+    it("should count tokens taken by a dead instance as spent", async () => {
         const store = new FakeStore();
         const fleet = { instances: new Map<string, Budgets>() };
         const dead = createInstance("dead", store, fleet);
@@ -96,7 +96,7 @@
         [dead, next].forEach(budgets => budgets.close());
     });
 
-    it("should use what a write has taken that nobody waited for any more", async () => {
+    it("should use tokens taken by a write whose reply was lost, and grant no more", async () => {
         const store = new FakeStore();
         const budgets = createInstance("a", store, { instances: new Map() });
         store.fault = "loseReply";
@@ -108,7 +108,7 @@
         budgets.close();
     });
 
-    it("should not spend twice what it returned with a lost reply", async () => {
+    it("should not spend tokens twice when the reply to their return was lost", async () => {
         const store = new FakeStore();
         const fleet = { instances: new Map<string, Budgets>() };
         const [a, b] = [createInstance("a", store, fleet), createInstance("b", store, fleet)];
@@ -116,18 +116,18 @@
         (await a.reserve("p", 200, 100, progress)).settle(0);
         store.fault = "loseReply";
         store.faultsLeft = 2;
-        await a.returnFor("p", progress);
+        await a.returnUnspent("p", progress);
         const granted = await Promise.allSettled([1, 2, 3].map(() => b.reserve("p", 200, 100, progress)));
         expect(granted.filter(({ status }) => status === "fulfilled").length).toEqual(2);
         [a, b].forEach(budgets => budgets.close());
     });
 
-    it("should never grant more than the budget, whatever instances do and replies get lost", async () => {
+    it("should never grant more than the budget when instances crash and replies get lost at random", async () => {
         const step = fc.record({
             instance: fc.integer({ min: 0, max: 2 }),
             action: fc.constantFrom("turn", "settle", "crash", "return"),
             spent: fc.integer({ min: 0, max: 100 }),
-            lost: fc.boolean(),
+            isReplyLost: fc.boolean(),
         });
         await fc.assert(
             fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 40 }), async steps => {
@@ -136,9 +136,9 @@
                 const names = ["a0", "b0", "c0"];
                 const all = names.map(name => createInstance(name, store, fleet));
                 const open: { settle(spent: number): void; instance: number; }[] = [];
-                let handedOut = 0;
-                for (const { instance, action, spent, lost } of steps) {
-                    store.fault = lost ? "loseReply" : "none";
+                let spentTokens = 0;
+                for (const { instance, action, spent, isReplyLost } of steps) {
+                    store.fault = isReplyLost ? "loseReply" : "none";
                     store.faultsLeft = 1;
                     const progress = new Progress(1_000);
                     if (action === "turn") {
@@ -149,21 +149,21 @@
                     }
                     else if (action === "settle" && open.length > 0) {
                         open.shift()!.settle(spent);
-                        handedOut += spent;
+                        spentTokens += spent;
                     }
                     else if (action === "crash") {
                         fleet.instances.delete(names[instance]!);
                         names[instance] += "x";
                         all[instance] = createInstance(names[instance]!, store, fleet);
                         const lostTurns = open.filter(turn => turn.instance === instance);
-                        handedOut += lostTurns.length * 100;
+                        spentTokens += lostTurns.length * 100;
                         lostTurns.forEach(turn => open.splice(open.indexOf(turn), 1));
                     }
                     else {
-                        await all[instance]!.returnFor("p", progress).catch(() => false);
+                        await all[instance]!.returnUnspent("p", progress).catch(() => false);
                     }
                     progress.dispose();
-                    expect(handedOut + open.length * 100).toSatisfy(tokens => tokens <= 500);
+                    expect(spentTokens + open.length * 100).toSatisfy(tokens => tokens <= 500);
                 }
                 all.forEach(budgets => budgets.close());
             }),
--- a/tests/gateway/journal.test.ts
+++ b/tests/gateway/journal.test.ts
@@ -1,6 +1,6 @@
 import { ProblemError, Progress, silentLogger } from "@marigolddrift/common";
 import { createTurn, DiskLog, JournalArchive, packTurn, RecordRemover, TurnJournal } from "@marigolddrift/gateway";
-import type { JournalQuestion, TurnArchive, TurnRecord, TurnToKeep } from "@marigolddrift/gateway";
+import type { JournalRequest, TurnArchive, TurnRecord, TurnToSave } from "@marigolddrift/gateway";
 import { expect } from "earl";
 import { mkdtemp, readdir, readFile, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
@@ -20,10 +20,11 @@
     }
 };
 
-const text = (payloads: readonly { payload: Buffer; }[]): string[] => payloads.map(({ payload }) => payload.toString());
+const payloadTexts = (payloads: readonly { payload: Buffer; }[]): string[] =>
+    payloads.map(({ payload }) => payload.toString());
 
 describe("disk log", () => {
-    it("should read back what was appended, over several processes", () =>
+    it("should read payloads that several processes have appended", () =>
         withDir(async dir => {
             const first = new DiskLog(dir, silentLogger);
             expect((await first.open()).isNew).toEqual(true);
@@ -33,10 +34,10 @@
             expect((await second.open()).isNew).toEqual(false);
             await second.append(Buffer.from("c"));
             await second.close();
-            expect(text((await new DiskLog(dir, silentLogger).open()).payloads)).toEqual(["a", "b", "c"]);
+            expect(payloadTexts((await new DiskLog(dir, silentLogger).open()).payloads)).toEqual(["a", "b", "c"]);
         }));
 
-    it("should leave out a torn end, and whatever of it has other bytes", () =>
+    it("should leave out a truncated or corrupted end of the log", () =>
         withDir(async dir => {
             const log = new DiskLog(dir, silentLogger);
             await log.open();
@@ -47,28 +48,34 @@
             const bytes = await readFile(path);
             for (const torn of [bytes.subarray(0, -3), Buffer.concat([bytes.subarray(0, -3), Buffer.alloc(3)])]) {
                 await writeFile(path, torn);
-                expect(text((await new DiskLog(dir, silentLogger).open()).payloads)).toEqual(["whole"]);
+                expect(payloadTexts((await new DiskLog(dir, silentLogger).open()).payloads)).toEqual(["whole"]);
             }
         }));
 });
 
 const turnOf = (id: string): TurnRecord => createTurn(id, undefined, Buffer.from(`${id} in `), Buffer.from("out\n"));
-const kept = (id: string): TurnToKeep => ({ turn: turnOf(id), program: "p", keepMs: 60_000 });
+const toSave = (id: string): TurnToSave => ({ turn: turnOf(id), program: "p", keepMs: 60_000 });
 
-class Machine {
-    readonly told: string[][] = [];
+class JournalNode {
+    readonly notifiedIds: string[][] = [];
     private readonly remover: RecordRemover;
     readonly journal: TurnJournal;
 
     constructor(dir: string, store: FakeStore) {
         this.remover = new RecordRemover(store, silentLogger);
-        const tell = (_: string, ids: readonly string[]) => this.told.push([...ids]);
-        this.journal = new TurnJournal(new DiskLog(dir, silentLogger), store, this.remover, tell, silentLogger);
+        const notifyFlushed = (_: string, ids: readonly string[]) => this.notifiedIds.push([...ids]);
+        this.journal = new TurnJournal(
+            new DiskLog(dir, silentLogger),
+            store,
+            this.remover,
+            notifyFlushed,
+            silentLogger,
+        );
     }
 
     keep(id: string, copy: number): Promise<boolean> {
         const record = packTurn(turnOf(id));
-        return this.journal.keep({ id, record, keepMs: 60_000, copy, holders: ["other:1"] });
+        return this.journal.append({ id, record, keepMs: 60_000, copy, holders: ["other:1"] });
     }
 
     async close(): Promise<void> {
@@ -77,10 +84,10 @@
     }
 }
 
-const withMachine = (test: (machine: Machine, store: FakeStore, dir: string) => Promise<void>): Promise<void> =>
+const withJournalNode = (test: (machine: JournalNode, store: FakeStore, dir: string) => Promise<void>): Promise<void> =>
     withDir(async dir => {
         const store = new FakeStore();
-        const machine = new Machine(dir, store);
+        const machine = new JournalNode(dir, store);
         await machine.journal.start(() => 0);
         try {
             await test(machine, store, dir);
@@ -91,101 +98,101 @@
     });
 
 describe("turn journal", () => {
-    it("should bring a burst of turns into the store with few calls, and tell the other holders", () =>
-        withMachine(async (machine, store) => {
+    it("should flush a burst of turns with few store calls and notify the other holders", () =>
+        withJournalNode(async (machine, store) => {
             await Promise.all(Array.from({ length: 100 }, (_, index) => machine.keep(`t${index}`, 0)));
             expect(store.writes).toEqual(0);
-            await until(() => machine.journal.waiting === 0);
+            await until(() => machine.journal.unflushedCount === 0);
             expect(store.writes).toSatisfy(calls => calls <= 5);
-            expect(machine.told.flat().length).toEqual(100);
+            expect(machine.notifiedIds.flat().length).toEqual(100);
             expect(store.state.get("marigolddrift/turns/t99")?.value).toEqual(packTurn(turnOf("t99")));
         }));
 
-    it("should write a later copy only if it hears nothing of the first", () =>
-        withMachine(async (machine, store) => {
+    it("should flush a later copy only if it is not notified that the first copy was flushed", () =>
+        withJournalNode(async (machine, store) => {
             await machine.keep("told", 1);
             await machine.keep("untold", 1);
             machine.journal.onPeerFlushed(["told"]);
-            await until(() => machine.journal.waiting === 0);
+            await until(() => machine.journal.unflushedCount === 0);
             expect([store.state.get("marigolddrift/turns/told"), store.writes]).toEqual([undefined, 1]);
             expect(machine.journal.find("told").record).not.toEqual(undefined);
         }));
 
-    it("should keep turns while the store is away, also over a crash, and write them when it is back", () =>
-        withMachine(async (machine, store, dir) => {
+    it("should keep turns across a restart while the store is unavailable, and flush them when it recovers", () =>
+        withJournalNode(async (machine, store, dir) => {
             store.fault = "down";
             await machine.keep("t1", 0);
             await machine.journal.close();
-            const restarted = new Machine(dir, store);
+            const restarted = new JournalNode(dir, store);
             await restarted.journal.start(() => 0);
             expect(restarted.journal.find("t1").record).toEqual(packTurn(turnOf("t1")));
             store.fault = "none";
-            await until(() => restarted.journal.waiting === 0);
+            await until(() => restarted.journal.unflushedCount === 0);
             expect(store.state.get("marigolddrift/turns/t1")).not.toEqual(undefined);
             await restarted.close();
         }));
 
-    it("should leave no segments on the disk that hold nothing of use", () =>
-        withMachine(async (machine, store, dir) => {
+    it("should leave no fully flushed segments on the disk", () =>
+        withJournalNode(async (machine, store, dir) => {
             await machine.keep("t1", 0);
-            await until(() => machine.journal.waiting === 0);
+            await until(() => machine.journal.unflushedCount === 0);
             await machine.journal.close();
-            const logs = async () => (await readdir(dir)).filter(name => name.endsWith(".log")).length;
+            const countSegments = async () => (await readdir(dir)).filter(name => name.endsWith(".log")).length;
             for (let restart = 0; restart < 3; restart++) {
-                const restarted = new Machine(dir, store);
+                const restarted = new JournalNode(dir, store);
                 await restarted.journal.start(() => 0);
                 await restarted.keep(`r${restart}`, 0);
-                await until(() => restarted.journal.waiting === 0);
+                await until(() => restarted.journal.unflushedCount === 0);
                 await restarted.close();
             }
-            expect(await logs()).toEqual(1);
+            expect(await countSegments()).toEqual(1);
         }));
 
-    it("should take no turns once it is being emptied, and hold nothing that the store does not have", () =>
-        withMachine(async (machine, store) => {
+    it("should take no turns once draining has begun, and flush all turns to the store", () =>
+        withJournalNode(async (machine, store) => {
             await machine.keep("t1", 1);
-            const empty = machine.journal.empty();
+            const draining = machine.journal.drain();
             expect(await machine.keep("t2", 0)).toEqual(false);
-            await empty;
-            expect([machine.journal.waiting, store.state.get("marigolddrift/turns/t1") !== undefined]).toEqual([
+            await draining;
+            expect([machine.journal.unflushedCount, store.state.get("marigolddrift/turns/t1") !== undefined]).toEqual([
                 0,
                 true,
             ]);
         }));
 
-    it("should say that it may lack turns when its disk was empty after a start", () =>
+    it("should report that it may lack turns after a start with a new disk", () =>
         withDir(async dir => {
-            const machine = new Machine(dir, new FakeStore());
+            const machine = new JournalNode(dir, new FakeStore());
             await machine.journal.start(isNewDisk => isNewDisk ? 60_000 : 0);
             expect(machine.journal.find("t1")).toEqual({ record: undefined, complete: false });
             await machine.close();
         }));
 });
 
-/** Machines that keep turns, without disks. */
-class Fleet {
-    readonly journals = ["a:1", "b:1", "c:1"].map(name => this.machine(name));
+/** Journal servers in memory, and a store. */
+class FakeFleet {
+    readonly journals = ["a:1", "b:1", "c:1"].map(name => this.createServer(name));
     readonly records = new Map<string, Map<string, Buffer>>();
     readonly silent = new Set<string>();
     readonly incomplete = new Set<string>();
     readonly stored = new Map<string, TurnRecord>();
-    storeIsAway = false;
-    asked = 0;
-    onAsked: () => void = () => {};
-    onStoreAsked: () => void = () => {};
-    /** A front that reaches the machines. */
+    isStoreDown = false;
+    requestCount = 0;
+    onRequest: () => void = () => {};
+    onStoreRead: () => void = () => {};
+    /** Another front instance, which can reach the journal servers. */
     front: unknown = undefined;
 
     readonly store: TurnArchive = {
         save: async ({ turn }, progress) => {
-            if (this.storeIsAway) {
+            if (this.isStoreDown) {
                 await progress.sleep(60_000);
             }
             this.stored.set(turn.id, turn);
         },
         load: async ({ id }) => {
-            this.onStoreAsked();
-            if (this.storeIsAway) {
+            this.onStoreRead();
+            if (this.isStoreDown) {
                 throw new ProblemError("not_durable", "notRun", "The store is away.");
             }
             return this.stored.get(id);
@@ -198,111 +205,111 @@
         return new JournalArchive(peers, this.store, placement, silentLogger);
     }
 
-    /** Machines that hold a turn. */
+    /** Names of the servers that hold a turn. */
     holders(id: string): string[] {
         return [...this.records].filter(([, records]) => records.has(id)).map(([name]) => name);
     }
 
-    private machine(name: string) {
+    private createServer(name: string) {
         return {
             name,
             isUsable: true,
             isConnected: true,
             address: { zone: "z" },
-            ask: (question: JournalQuestion, progress: Progress) => this.answer(name, question, progress),
+            ask: (request: JournalRequest, progress: Progress) => this.handleRequest(name, request, progress),
         };
     }
 
-    private async answer(name: string, question: JournalQuestion, progress: Progress): Promise<unknown> {
-        this.asked += 1;
-        this.onAsked();
+    private async handleRequest(name: string, request: JournalRequest, progress: Progress): Promise<unknown> {
+        this.requestCount += 1;
+        this.onRequest();
         if (this.silent.has(name)) {
             await progress.sleep(60_000);
         }
         const records = this.records.get(name) ?? new Map<string, Buffer>();
         this.records.set(name, records);
-        if (question.kind === "keepTurn") {
-            records.set(question.turn.id, question.turn.record);
+        if (request.kind === "keepTurn") {
+            records.set(request.turn.id, request.turn.record);
             return true;
         }
-        return question.kind === "findTurn" ?
-            { record: records.get(question.id), complete: !this.incomplete.has(name) } :
+        return request.kind === "findTurn" ?
+            { record: records.get(request.id), complete: !this.incomplete.has(name) } :
             true;
     }
 }
 
 describe("journal archive", () => {
-    const load = (fleet: Fleet, id: string) => fleet.archive().load({ id, program: "p" }, new Progress(2_000));
+    const load = (fleet: FakeFleet, id: string) => fleet.archive().load({ id, program: "p" }, new Progress(2_000));
 
-    it("should end turns and continue them while the store is away", async () => {
-        const fleet = new Fleet();
-        fleet.storeIsAway = true;
-        await fleet.archive().save(kept("t1"), new Progress(300));
+    it("should end turns and continue them while the store is unavailable", async () => {
+        const fleet = new FakeFleet();
+        fleet.isStoreDown = true;
+        await fleet.archive().save(toSave("t1"), new Progress(300));
         expect(fleet.holders("t1").length).toEqual(2);
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
     });
 
-    it("should send a copy to another machine when one is silent", async () => {
-        const fleet = new Fleet();
-        fleet.storeIsAway = true;
-        await fleet.archive().save(kept("t0"), new Progress(300));
+    it("should send a copy to another machine when one does not respond", async () => {
+        const fleet = new FakeFleet();
+        fleet.isStoreDown = true;
+        await fleet.archive().save(toSave("t0"), new Progress(300));
         fleet.silent.add(fleet.holders("t0")[0]!);
-        await fleet.archive().save(kept("t1"), new Progress(300));
+        await fleet.archive().save(toSave("t1"), new Progress(300));
         expect(fleet.holders("t1").length).toEqual(2);
     });
 
-    it("should use the store when too few machines answer, and find the turn there", async () => {
-        const fleet = new Fleet();
+    it("should fall back to the store when too few machines respond, and load the turn from it", async () => {
+        const fleet = new FakeFleet();
         fleet.silent.add("a:1").add("b:1");
-        await fleet.archive().save(kept("t1"), new Progress(1_000));
+        await fleet.archive().save(toSave("t1"), new Progress(1_000));
         expect(fleet.stored.has("t1")).toEqual(true);
         fleet.records.clear();
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
     });
 
-    it("should find a turn of which one copy is left", async () => {
-        const fleet = new Fleet();
-        await fleet.archive().save(kept("t1"), new Progress(300));
+    it("should find a turn with one remaining copy", async () => {
+        const fleet = new FakeFleet();
+        await fleet.archive().save(toSave("t1"), new Progress(300));
         fleet.records.delete(fleet.holders("t1")[0]!);
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
     });
 
-    it("should find a turn soon although the first machine is silent, and ask no more machines than needed", async () => {
-        const fleet = new Fleet();
-        await fleet.archive().save(kept("t1"), new Progress(300));
+    it("should find a turn quickly and ask no more machines than needed if the first machine is silent", async () => {
+        const fleet = new FakeFleet();
+        await fleet.archive().save(toSave("t1"), new Progress(300));
         fleet.silent.add(fleet.holders("t1")[0]!);
-        fleet.asked = 0;
+        fleet.requestCount = 0;
         const startedAt = performance.now();
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
         expect(performance.now() - startedAt).toSatisfy(ms => ms < 200);
-        expect(fleet.asked).toEqual(2);
+        expect(fleet.requestCount).toEqual(2);
     });
 
-    it("should ask the store after the machines, since turns move from the disks to it", async () => {
-        const fleet = new Fleet();
+    it("should ask the store after the machines, because turns are flushed from the disks to it", async () => {
+        const fleet = new FakeFleet();
         const order: string[] = [];
-        fleet.onAsked = () => order.push("machine");
-        fleet.onStoreAsked = () => order.push("store");
+        fleet.onRequest = () => order.push("machine");
+        fleet.onStoreRead = () => order.push("store");
         expect(await load(fleet, "t9")).toEqual(undefined);
         expect(order).toEqual(["machine", "machine", "machine", "store", "store"]);
     });
 
-    it("should find turns through another front, and keep them in the store, when cut off from the machines", async () => {
-        const fleet = new Fleet();
-        await fleet.archive().save(kept("t1"), new Progress(300));
-        const reaching = fleet.archive();
-        const found = await reaching.loadForPeer({ id: "t1", program: "p" }, new Progress(300));
+    it("should load turns through another front and keep them in the store if no machines are reachable", async () => {
+        const fleet = new FakeFleet();
+        await fleet.archive().save(toSave("t1"), new Progress(300));
+        const reachingArchive = fleet.archive();
+        const found = await reachingArchive.loadForPeer({ id: "t1", program: "p" }, new Progress(300));
         fleet.front = { name: "front:1", ask: async () => packTurn(found!) };
         fleet.journals.forEach(machine => Object.assign(machine, { isConnected: false, isUsable: false }));
         const startedAt = performance.now();
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
-        await fleet.archive().save(kept("t2"), new Progress(300));
+        await fleet.archive().save(toSave("t2"), new Progress(300));
         expect(performance.now() - startedAt).toSatisfy(ms => ms < 100);
         expect([fleet.holders("t2"), fleet.stored.has("t2")]).toEqual([[], true]);
     });
 
-    it("should rule a turn out only if all but the tolerated machines have answered for their whole time", async () => {
-        const fleet = new Fleet();
+    it("should rule a turn out only if all but the tolerated machines are complete and respond in time", async () => {
+        const fleet = new FakeFleet();
         expect(await load(fleet, "t9")).toEqual(undefined);
         fleet.incomplete.add("a:1");
         expect(await load(fleet, "t9")).toEqual(undefined);
@@ -310,9 +317,9 @@
         await expect(load(fleet, "t9")).toBeRejectedWith("Too few machines");
     });
 
-    it("should not rule a turn out while the store is away", async () => {
-        const fleet = new Fleet();
-        fleet.storeIsAway = true;
+    it("should not rule a turn out while the store is unavailable", async () => {
+        const fleet = new FakeFleet();
+        fleet.isStoreDown = true;
         await expect(load(fleet, "t9")).toBeRejectedWith("The store is away");
     });
 });
--- a/tests/gateway/peerClient.test.ts
+++ b/tests/gateway/peerClient.test.ts
@@ -1,6 +1,6 @@
 import { Progress, silentLogger } from "@marigolddrift/common";
 import { PeerClient, PeerServer } from "@marigolddrift/gateway";
-import type { AnswerFunction } from "@marigolddrift/gateway";
+import type { RequestHandler } from "@marigolddrift/gateway";
 import { expect } from "earl";
 import { connect, createServer } from "node:net";
 import type { AddressInfo } from "node:net";
@@ -11,10 +11,10 @@
 const key = () => "shared";
 
 const withPeer = async (
-    answer: AnswerFunction,
+    handleRequest: RequestHandler,
     test: (client: PeerClient, port: number) => Promise<void>,
 ): Promise<void> => {
-    const server = new PeerServer(key, answer, silentLogger);
+    const server = new PeerServer(key, handleRequest, silentLogger);
     const port = await server.listen("127.0.0.1", 0);
     const address = { instance: "b", host: "127.0.0.1", port, zone: "z", region: "r", keepsTurns: false };
     const client = new PeerClient(address, key);
@@ -27,23 +27,23 @@
     }
 };
 
-const never = (): Promise<unknown> => new Promise(() => {});
-const question = { kind: "get" as const, key: "k" };
+const neverResolve = (): Promise<unknown> => new Promise(() => {});
+const request = { kind: "get" as const, key: "k" };
 
 describe("peer client", () => {
-    it("should not take a peer for gone when a question was answered another way", () =>
-        withPeer(never, async client => {
+    it("should not take a peer out of use when a question was aborted because another attempt succeeded", () =>
+        withPeer(neverResolve, async client => {
             const progress = new Progress(5_000);
-            setTimeout(() => progress.abort(new Error("answered another way")), 250);
-            await expect(client.ask(question, progress)).toBeRejectedWith("answered another way");
+            setTimeout(() => progress.abort(new Error("another attempt succeeded")), 250);
+            await expect(client.ask(request, progress)).toBeRejectedWith("another attempt succeeded");
             expect(client.isUsable).toEqual(true);
         }));
 
-    it("should leave a silent peer alone for longer with each failure", () =>
-        withPeer(never, async client => {
+    it("should leave an unresponsive peer unused for longer after each failure", () =>
+        withPeer(neverResolve, async client => {
             const pauses: number[] = [];
             for (let failure = 0; failure < 2; failure++) {
-                await expect(client.ask(question, new Progress(200))).toBeRejected();
+                await expect(client.ask(request, new Progress(200))).toBeRejected();
                 const failedAt = performance.now();
                 while (!client.isUsable) {
                     await new Promise(resolve => setTimeout(resolve, 20));
@@ -53,41 +53,44 @@
             expect(pauses[1]! > 1.5 * pauses[0]!).toEqual(true);
         }));
 
-    it("should not take a peer for gone that answers other questions", () =>
+    it("should not take a slow peer out of use while it responds to other requests", () =>
         withPeer(
-            async asked => asked.kind === "get" && asked.key === "slow" ? await never() : "value",
+            async received => received.kind === "get" && received.key === "slow" ? await neverResolve() : "value",
             async client => {
                 const slow = client.ask({ kind: "get", key: "slow" }, new Progress(300));
                 await new Promise(resolve => setTimeout(resolve, 100));
-                expect(await client.ask(question, new Progress(1_000)) as unknown).toEqual("value");
+                expect(await client.ask(request, new Progress(1_000)) as unknown).toEqual("value");
                 await expect(slow).toBeRejected();
                 expect([client.isUsable, client.isConnected]).toEqual([true, true]);
             },
         ));
 
-    it("should use a connection that opened after its first question had given up", () =>
+    it("should use a connection that opened after the question that started it had timed out", () =>
         withPeer(async () => "value", async (client, port) => {
-            const late = createServer(socket => {
+            const slowProxy = createServer(socket => {
                 const peer = connect(port, "127.0.0.1");
                 setTimeout(() => socket.pipe(peer).pipe(socket), 600);
                 socket.on("error", () => peer.destroy());
                 peer.on("error", () => socket.destroy());
             });
-            await new Promise<void>(resolve => late.listen(0, "127.0.0.1", () => resolve()));
-            const viaLate = new PeerClient({ ...client.address, port: (late.address() as AddressInfo).port }, key);
+            await new Promise<void>(resolve => slowProxy.listen(0, "127.0.0.1", () => resolve()));
+            const viaProxy = new PeerClient(
+                { ...client.address, port: (slowProxy.address() as AddressInfo).port },
+                key,
+            );
             try {
-                await expect(viaLate.ask(question, new Progress(300))).toBeRejected();
-                await until(() => viaLate.isUsable && viaLate.isConnected);
-                expect(await viaLate.ask(question, new Progress(1_000)) as unknown).toEqual("value");
+                await expect(viaProxy.ask(request, new Progress(300))).toBeRejected();
+                await until(() => viaProxy.isUsable && viaProxy.isConnected);
+                expect(await viaProxy.ask(request, new Progress(1_000)) as unknown).toEqual("value");
             }
             finally {
-                viaLate.close();
-                late.close();
+                viaProxy.close();
+                slowProxy.close();
             }
         }));
 
-    it("should answer questions", () =>
+    it("should return the response to a request", () =>
         withPeer(async () => "value", async client => {
-            expect(await client.ask(question, new Progress(1_000)) as unknown).toEqual("value");
+            expect(await client.ask(request, new Progress(1_000)) as unknown).toEqual("value");
         }));
 });
--- a/tests/gateway/peers.test.ts
+++ b/tests/gateway/peers.test.ts
@@ -7,7 +7,7 @@
 import { FakeStore } from "../fakeStore.js";
 import { until } from "../platform/deployment.js";
 
-const address = (instance: string, zone: string, keepsTurns: boolean): PeerAddress => ({
+const createAddress = (instance: string, zone: string, keepsTurns: boolean): PeerAddress => ({
     instance,
     host: "127.0.0.1",
     port: 1,
@@ -17,13 +17,13 @@
 });
 
 describe("peers", () => {
-    it("should open the connections that calls will need before a call needs them, one after the other", async () => {
+    it("should open the connections that calls need before a call is made, one after the other", async () => {
         const store = new FakeStore();
         const others = [
-            address("journal-near", "north-b", true),
-            address("journal-far", "south-a", true),
-            address("front-near", "north-b", false),
-            address("front-far", "south-a", false),
+            createAddress("journal-near", "north-b", true),
+            createAddress("journal-far", "south-a", true),
+            createAddress("front-near", "north-b", false),
+            createAddress("front-far", "south-a", false),
         ];
         const key = { value: "" };
         const servers = await Promise.all(others.map(async other => {
@@ -37,7 +37,7 @@
             );
             return server;
         }));
-        const peers = new Peers("front", () => address("front", "north-a", false), store, silentLogger);
+        const peers = new Peers("front", () => createAddress("front", "north-a", false), store, silentLogger);
         peers.start();
         try {
             await until(() => peers.key !== undefined);
