--- a/tests/gateway/regionBudgets.test.ts
+++ b/tests/gateway/regionBudgets.test.ts
@@ -8,37 +8,37 @@
 interface Member {
     readonly budgets: Budgets;
     readonly region: RegionBudgets;
-    /** Whether its peers reach it. */
-    reachable: boolean;
+    /** Whether peers can reach the instance. */
+    isReachable: boolean;
 }
 
-interface Question {
+interface PeerRequest {
     readonly kind: string;
     readonly program: string;
 }
 
-/** Instances of one region that call each other directly. */
+/** Creates instances of one region that call each other directly. */
 const createRegion = (store: FakeStore, names: readonly string[]): Map<string, Member> => {
     const members = new Map<string, Member>();
-    const answer = async (name: string, question: Question, progress: Progress): Promise<unknown> => {
+    const handleRequest = async (name: string, request: PeerRequest, progress: Progress): Promise<unknown> => {
         const member = members.get(name)!;
-        if (!member.reachable) {
-            throw new Error("the peer is silent");
+        if (!member.isReachable) {
+            throw new Error("the peer is unreachable");
         }
-        switch (question.kind) {
+        switch (request.kind) {
             case "returnBudget":
-                return await member.budgets.returnFor(question.program, progress);
+                return await member.budgets.returnUnspent(request.program, progress);
             case "reserveTokens":
-                return await member.region.lend(question as never, progress);
+                return await member.region.reserveForPeer(request as never, progress);
             default:
-                return await member.region.settleLent(question as never);
+                return await member.region.settleForPeer(request as never);
         }
     };
     const peer = (name: string) => ({
         name,
         address: { instance: name },
-        ask: (question: Question, progress: Progress) => answer(name, question, progress),
-        tell: (question: Question) => answer(name, question, new Progress(1_000)),
+        ask: (request: PeerRequest, progress: Progress) => handleRequest(name, request, progress),
+        notify: (request: PeerRequest) => handleRequest(name, request, new Progress(1_000)),
     });
     for (const name of names) {
         const peers = {
@@ -48,7 +48,11 @@
         } as never;
         const budgets = new Budgets(name, new GroupWriter(store, 0, silentLogger), store, peers, silentLogger);
         const self = { instance: name, region: "r", address: () => name };
-        members.set(name, { budgets, region: new RegionBudgets(self, budgets, peers, silentLogger), reachable: true });
+        members.set(name, {
+            budgets,
+            region: new RegionBudgets(self, budgets, peers, silentLogger),
+            isReachable: true,
+        });
     }
     return members;
 };
@@ -64,7 +68,7 @@
 };
 
 describe("budgets of a region", () => {
-    it("should write the record once while the turns of a program come in through all instances", async () => {
+    it("should write the record once when the turns of a program arrive at all instances", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
         for (let index = 0; index < 8; index++) {
@@ -74,7 +78,7 @@
         close(region);
     });
 
-    it("should refuse what the budget does not hold, through any instance", async () => {
+    it("should reject turns at every instance when the budget is exhausted", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
         for (let spent = 0; spent + needed <= total; spent += needed) {
@@ -86,25 +90,25 @@
         close(region);
     });
 
-    it("should go on with portions of its own when the keeper is silent", async () => {
+    it("should fall back on its own allocation when the coordinator does not respond", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
-        const keeper = rendezvous("p", names)[0]!;
-        region.get(keeper)!.reachable = false;
-        const other = names.find(name => name !== keeper)!;
+        const coordinator = rendezvous("p", names)[0]!;
+        region.get(coordinator)!.isReachable = false;
+        const other = names.find(name => name !== coordinator)!;
         await turn(region.get(other)!, 73);
         expect(store.writes).toEqual(1);
         close(region);
     });
 
-    it("should let others keep their tokens once it stops, and give back what it holds", async () => {
+    it("should let others keep their own tokens once it has stopped, and return the tokens that it holds", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
-        const keeper = rendezvous("p", names)[0]!;
-        const other = names.find(name => name !== keeper)!;
+        const coordinator = rendezvous("p", names)[0]!;
+        const other = names.find(name => name !== coordinator)!;
         await turn(region.get(other)!, needed);
-        region.get(keeper)!.region.stop();
-        await region.get(keeper)!.budgets.returnAll(new Progress(1_000));
+        region.get(coordinator)!.region.stop();
+        await region.get(coordinator)!.budgets.returnAllUnspent(new Progress(1_000));
         for (let spent = needed; spent + needed <= total; spent += needed) {
             await turn(region.get(other)!, needed);
         }
--- a/tests/gateway/regionReads.test.ts
+++ b/tests/gateway/regionReads.test.ts
@@ -1,6 +1,6 @@
 import { Progress, silentLogger } from "@marigolddrift/common";
 import { ChangeFeed, Follower, RegionReads } from "@marigolddrift/gateway";
-import type { PeerQuestion } from "@marigolddrift/gateway";
+import type { PeerRequest } from "@marigolddrift/gateway";
 import { HistoryGoneError } from "@marigolddrift/store";
 import type { ChangeBatch, StoredValue } from "@marigolddrift/store";
 import { expect } from "earl";
@@ -37,7 +37,7 @@
 const createRegion = (store: FakeStore, size: number): Map<string, Member> => {
     const members = new Map<string, Member>();
     const names = Array.from({ length: size }, (_, index) => `front-${index}`);
-    const ask = async (name: string, question: PeerQuestion, progress: Progress): Promise<unknown> => {
+    const ask = async (name: string, question: PeerRequest, progress: Progress): Promise<unknown> => {
         const member = members.get(name)!;
         if (question.kind !== "followed" || member.mode === "down") {
             throw new Error("the peer is down");
@@ -50,7 +50,7 @@
     const peer = (name: string) => ({
         name,
         isConnected: true,
-        ask: (question: PeerQuestion, progress: Progress) => ask(name, question, progress),
+        ask: (question: PeerRequest, progress: Progress) => ask(name, question, progress),
     });
     for (const name of names) {
         const peers = { usableInRegion: () => names.filter(other => other !== name).map(peer) } as never;
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -257,7 +257,7 @@
         const first = turn("t1");
         await writing.save(kept(first), progress);
         await writing.save(kept(turn("t2", first)), progress);
-        const { history } = await createTurns(store).conversation({ id: "t2", program: "p" }, progress);
+        const { history } = await createTurns(store).loadConversation({ id: "t2", program: "p" }, progress);
         expect(history.toString()).toEqual("t1 in t1 out\nt2 in t2 out\n");
         expect(store.reads).toEqual(1);
     });
@@ -272,7 +272,7 @@
             await writing.save(kept(last), progress);
         }
         expect([last!.base, last!.tail.length < 45_000]).toEqual(["t2", true]);
-        const { history } = await createTurns(store).conversation({ id: "t4", program: "p" }, progress);
+        const { history } = await createTurns(store).loadConversation({ id: "t4", program: "p" }, progress);
         expect(history.toString().match(/t\d in/g)).toEqual(["t1 in", "t2 in", "t3 in", "t4 in"]);
     });
 
@@ -281,16 +281,17 @@
         await createTurns(store).save(kept(turn("t1")), new Progress(1_000));
         store.fault = "down";
         store.faultsLeft = 3;
-        expect((await createTurns(store).conversation({ id: "t1", program: "p" }, new Progress(3_000))).last.id)
+        expect((await createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(3_000))).last.id)
             .toEqual("t1");
         store.faultsLeft = Infinity;
-        await expect(createTurns(store).conversation({ id: "t1", program: "p" }, new Progress(1_500))).toBeRejectedWith(
-            "did not say",
-        );
+        await expect(createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(1_500)))
+            .toBeRejectedWith(
+                "did not say",
+            );
     });
 
     it("should be certain that a turn does not exist only by the store's word", async () => {
-        await expect(createTurns(new FakeStore()).conversation({ id: "t9", program: "p" }, new Progress(1_000)))
+        await expect(createTurns(new FakeStore()).loadConversation({ id: "t9", program: "p" }, new Progress(1_000)))
             .toBeRejectedWith("No turn");
     });
 });
