--- a/packages/gateway/src/filters/historyFilter.ts
+++ b/packages/gateway/src/filters/historyFilter.ts
@@ -12,7 +12,7 @@
         const { program } = ctx.head;
         if (ctx.route.turnRetentionMs > 0 && program?.previousTurnId !== undefined) {
             const startedAt = performance.now();
-            ctx.conversation = await this.turns.conversation(
+            ctx.conversation = await this.turns.loadConversation(
                 { id: program.previousTurnId, program: program.id },
                 ctx.progress,
             );
--- a/packages/gateway/src/state/regionReads.ts
+++ b/packages/gateway/src/state/regionReads.ts
@@ -10,7 +10,7 @@
 
 import type { PeerClient } from "../peers/peerClient.js";
 import { packChanges, unpackChanges } from "../peers/peerMessages.js";
-import type { FollowedBatch, PeerSelf } from "../peers/peerMessages.js";
+import type { FollowedBatch, LocalInstance } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 import type { ChangeFeed } from "./changeFeed.js";
 
@@ -41,7 +41,7 @@
     private lastPacked: { readonly key: string; readonly packed: PackedChanges; } | undefined;
 
     constructor(
-        private readonly localPeer: PeerSelf,
+        private readonly localPeer: LocalInstance,
         private readonly store: VersionedStore,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly feed: ChangeFeed,
--- a/packages/gateway/src/upstreams/sharedLoad.ts
+++ b/packages/gateway/src/upstreams/sharedLoad.ts
@@ -5,7 +5,7 @@
 import type { WorkerLoad } from "@marigolddrift/policy";
 
 import type { PeerClient } from "../peers/peerClient.js";
-import type { PeerSelf } from "../peers/peerMessages.js";
+import type { LocalInstance } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 
 /** Interval between reports: about the time in which a busy region places one call on each upstream. */
@@ -40,7 +40,7 @@
     private readonly timer: NodeJS.Timeout;
 
     constructor(
-        private readonly localPeer: PeerSelf,
+        private readonly localPeer: LocalInstance,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly localLoad: () => WorkerLoad,
         private readonly log: Logger,
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -259,7 +259,7 @@
         const first = turn("t1");
         await turns.save(toSaveRequest(first), progress);
         await turns.save(toSaveRequest(turn("t2", first)), progress);
-        const { history } = await createTurns(store).conversation({ id: "t2", program: "p" }, progress);
+        const { history } = await createTurns(store).loadConversation({ id: "t2", program: "p" }, progress);
         expect(history.toString()).toEqual("t1 in t1 out\nt2 in t2 out\n");
         expect(store.reads).toEqual(1);
     });
@@ -274,7 +274,7 @@
             await turns.save(toSaveRequest(last), progress);
         }
         expect([last!.base, last!.tail.length < 45_000]).toEqual(["t2", true]);
-        const { history } = await createTurns(store).conversation({ id: "t4", program: "p" }, progress);
+        const { history } = await createTurns(store).loadConversation({ id: "t4", program: "p" }, progress);
         expect(history.toString().match(/t\d in/g)).toEqual(["t1 in", "t2 in", "t3 in", "t4 in"]);
     });
 
@@ -283,16 +283,17 @@
         await createTurns(store).save(toSaveRequest(turn("t1")), new Progress(1_000));
         store.fault = "down";
         store.faultsLeft = 3;
-        expect((await createTurns(store).conversation({ id: "t1", program: "p" }, new Progress(3_000))).last.id)
+        expect((await createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(3_000))).last.id)
             .toEqual("t1");
         store.faultsLeft = Infinity;
-        await expect(createTurns(store).conversation({ id: "t1", program: "p" }, new Progress(1_500))).toBeRejectedWith(
-            "did not say",
-        );
+        await expect(createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(1_500)))
+            .toBeRejectedWith(
+                "did not say",
+            );
     });
 
     it("should report a turn as missing only if confirmed by the store", async () => {
-        await expect(createTurns(new FakeStore()).conversation({ id: "t9", program: "p" }, new Progress(1_000)))
+        await expect(createTurns(new FakeStore()).loadConversation({ id: "t9", program: "p" }, new Progress(1_000)))
             .toBeRejectedWith("No turn");
     });
 });
