--- a/bench/localFleet.ts
+++ b/bench/localFleet.ts
@@ -139,7 +139,7 @@
         );
         const slots = this.daemons[0]?.bundles.current?.limits.slots ?? 0;
         const known = this.daemons.every(daemon =>
-            daemon.membership.ready().length === this.daemons.length - 1 &&
+            daemon.membership.connectedPeers().length === this.daemons.length - 1 &&
             daemon.slots.directory.all().length === slots
         );
         return slots > 0 && owned === slots && known;
--- a/bench/policy/benchScheduler.ts
+++ b/bench/policy/benchScheduler.ts
@@ -118,7 +118,7 @@
         ageMs: number,
     ): void {
         const report = { worker: engine.address, ...load, ageMs, leaving: engine.leaving, models: [model] };
-        this.upstreams.get(engine.address)!.onLoad(report, Date.now());
+        this.upstreams.get(engine.address)!.onLoadReport(report, Date.now());
         this.upstreams.get(engine.address)!.setLeaving("report", engine.leaving);
     }
 
@@ -128,7 +128,7 @@
         const progress = new Progress(program.deadline - Date.now());
         try {
             if (program.pausedAt > 0) {
-                this.memory.pauses.onReturn(program.pauseKind, Date.now() - program.pausedAt);
+                this.memory.pauseModel.onReturn(program.pauseKind, Date.now() - program.pausedAt);
             }
             this.admit(program, progress);
             await this.complete(program, req, prompt, progress);
@@ -140,12 +140,12 @@
 
     /** The program has ended. */
     onEnded(program: BenchProgram): void {
-        this.memory.pauses.onEnd(program.pauseKind);
+        this.memory.pauseModel.onEnd(program.pauseKind);
         if (this.policy.retention) {
             this.memory.onEnded(program.name);
         }
         else {
-            this.memory.view.forget(program.name);
+            this.memory.cacheView.forget(program.name);
         }
     }
 
@@ -178,13 +178,13 @@
             const upstream = this.upstreams.get(lease.worker)!;
             if (result.usage !== undefined) {
                 upstream.onSuccess();
-                upstream.onObserved((Date.now() - sentAt) / (lease.score.expectedMs || 1));
+                upstream.onLatencyObserved((Date.now() - sentAt) / (lease.score.expectedMs || 1));
                 this.dispatcher.onServed(model, Date.now() - sentAt);
                 this.finish(program, req, prompt, lease.worker, result.usage);
                 return;
             }
             upstream.onFailure(result.refused, Date.now());
-            this.memory.view.onDropped(program.name, lease.worker);
+            this.memory.cacheView.onDropped(program.name, lease.worker);
             excluded.add(lease.worker);
         }
         throw new ProblemError("upstream_failed", "mayHaveRun", "no engine completed the call");
@@ -288,7 +288,7 @@
         program.pauseKind = `${program.agent}/${req.nextTool}`;
         this.recorder.onUsage(usage.promptTokens, usage.cachedTokens);
         const tokens = tokensOf(program.segments);
-        this.memory.view.onCached(program.name, worker, tokens, now);
+        this.memory.cacheView.onCached(program.name, worker, tokens, now);
         if (this.policy.retention) {
             const load = this.upstreams.get(worker)?.reported?.load;
             const memoryPressure = load === undefined ? 0 : load.heldTokens / load.memoryTokens;
--- a/packages/daemon/src/controllers/bundles.ts
+++ b/packages/daemon/src/controllers/bundles.ts
@@ -1,4 +1,4 @@
-/** The bundle in force on this instance: from the store, from peers, or from the data folder; never an older one. */
+/** The bundle in force on this instance, read from the store, peers or the data folder; versions only ever increase. */
 import {
     asError,
     carriedBundleSchema,
@@ -19,30 +19,30 @@
 const readTimeoutMs = 2_000;
 const watchRetryMs = 500;
 
-/** Period at which the store is read although the watch reported nothing, in milliseconds. */
+/** Interval of store reads that find changes which the watch missed. */
 const pollMs = 5_000;
 
-/** What the bundles need from the rest of the daemon. */
-export interface BundlesOptions {
+/** Settings and callbacks of {@link BundleManager}. */
+export interface BundleManagerOptions {
     readonly region: string;
-    /** Keys that are trusted before any bundle is in force. */
+    /** Operator keys that are trusted until a bundle is in force. */
     readonly operators: OperatorKeys;
     readonly dataFolder: string | undefined;
     onChange(bundle: Bundle): void;
 }
 
-/** Takes versions, in one direction only. */
-export class Bundles {
+/** Applies newer, correctly signed bundle versions. */
+export class BundleManager {
     private carried: CarriedBundle | undefined;
     private bundle: Bundle | undefined;
     private readonly chain: BundleChain;
     private readonly stopping = new AbortController();
-    private readonly asking = new Set<string>();
+    private readonly fetching = new Set<string>();
 
     constructor(
         private readonly store: Store,
         private readonly membership: () => Membership,
-        private readonly options: BundlesOptions,
+        private readonly options: BundleManagerOptions,
         private readonly log: Logger,
     ) {
         this.chain = new BundleChain(store);
@@ -57,13 +57,13 @@
         return this.bundle;
     }
 
-    /** What a peer gets that asks for the bundle. */
-    get forPeers(): CarriedBundle | undefined {
+    /** The bundle in force with its rollout, as sent to peers that request it. */
+    get carriedBundle(): CarriedBundle | undefined {
         return this.carried;
     }
 
     async start(): Promise<void> {
-        this.readFolder();
+        this.loadFromDisk();
         await this.readStore();
         void this.watch();
         void this.poll();
@@ -73,30 +73,30 @@
         this.stopping.abort();
     }
 
-    /** A peer has a newer version: asks for it. */
+    /** Requests the bundle from a peer that announced a newer version. */
     async onPeerVersion(peer: Peer): Promise<void> {
-        if (peer.bundle <= this.version || this.asking.has(peer.address)) {
+        if (peer.bundle <= this.version || this.fetching.has(peer.address)) {
             return;
         }
-        this.asking.add(peer.address);
+        this.fetching.add(peer.address);
         const progress = new Progress(readTimeoutMs);
         try {
             const carried = carriedBundleSchema.safeParse(await peer.link.ask({ kind: "bundle" }, progress));
             if (carried.success) {
-                this.take(carried.data, `peer ${peer.address}`);
+                this.apply(carried.data, `peer ${peer.address}`);
             }
         }
         catch (err) {
-            this.log.debug("bundle not received", { peer: peer.address, error: asError(err).message });
+            this.log.debug("bundle not received from peer", { peer: peer.address, error: asError(err).message });
         }
         finally {
-            this.asking.delete(peer.address);
+            this.fetching.delete(peer.address);
             progress.dispose();
         }
     }
 
-    /** Puts a version in force if it is newer and properly signed. */
-    take(carried: CarriedBundle, source: string, keys = this.trustedKeys()): boolean {
+    /** Puts a version in force if it is newer and correctly signed; returns whether it did. */
+    apply(carried: CarriedBundle, source: string, keys = this.trustedKeys()): boolean {
         const { document } = carried;
         const decision = nextBundle(this.version, carried, this.options.region, keys);
         if (decision.kind === "keep") {
@@ -111,7 +111,7 @@
         this.bundle = bundle;
         this.log.info("bundle in force", { version: document.version, source });
         this.options.onChange(bundle);
-        this.writeFolder(carried);
+        this.saveToDisk(carried);
         return true;
     }
 
@@ -133,7 +133,7 @@
         if (this.bundle === undefined) {
             return this.options.operators;
         }
-        return keysOf(this.bundle);
+        return operatorKeysOf(this.bundle);
     }
 
     private async readStore(): Promise<void> {
@@ -141,36 +141,36 @@
         try {
             const rollout = await this.chain.rollout(progress);
             if (rollout !== undefined && rollout.value.version > this.version) {
-                await this.readVersions(rollout.value, progress);
+                await this.applyRollout(rollout.value, progress);
             }
         }
         catch (err) {
-            this.log.debug("bundle not read from the store", { error: asError(err).message });
+            this.log.debug("bundle read from the store failed", { error: asError(err).message });
         }
         finally {
             progress.dispose();
         }
     }
 
-    /** Takes the version that is rolled out. */
-    private async readVersions(rollout: Rollout, progress: Progress): Promise<void> {
+    /** Applies the version that a rollout names. */
+    private async applyRollout(rollout: Rollout, progress: Progress): Promise<void> {
         const document = await this.chain.version(rollout.version, progress);
-        if (document === undefined || this.take({ document: document.value, rollout }, "store")) {
+        if (document === undefined || this.apply({ document: document.value, rollout }, "store")) {
             return;
         }
-        const keys = await this.keysAlongChain(rollout.version, progress);
-        this.take({ document: document.value, rollout }, "store", keys);
+        const keys = await this.keysAfterRotations(rollout.version, progress);
+        this.apply({ document: document.value, rollout }, "store", keys);
     }
 
-    /** Follows rotations of keys through versions that this instance missed: each names the keys of the next. */
-    private async keysAlongChain(version: number, progress: Progress): Promise<OperatorKeys> {
+    /** Follows key rotations through versions that this instance missed; each version names the keys for the next. */
+    private async keysAfterRotations(version: number, progress: Progress): Promise<OperatorKeys> {
         let keys = this.trustedKeys();
         for (const { value: doc } of await this.chain.versions(progress)) {
             const isBetween = doc.version > this.version && doc.version < version;
             const isSigned = doc.signOff !== undefined && doc.signOff.operator !== doc.proposer &&
                 verifyBundle(doc, "sign-off", doc.signOff, keys);
             if (isBetween && isSigned) {
-                keys = keysOf(parseBundle(doc.text));
+                keys = operatorKeysOf(parseBundle(doc.text));
             }
         }
         return keys;
@@ -183,7 +183,7 @@
                 await this.store.watch(bundlePrefix, () => void this.readStore(), signal);
             }
             catch (err) {
-                this.log.debug("watch ended", { error: asError(err).message });
+                this.log.debug("bundle watch ended", { error: asError(err).message });
             }
             await delay(watchRetryMs);
         }
@@ -200,21 +200,21 @@
         return this.options.dataFolder === undefined ? undefined : join(this.options.dataFolder, "bundle.json");
     }
 
-    /** Takes the version in the data folder, if there is one. */
-    readFolder(): void {
+    /** Applies the version in the data folder, if there is one. */
+    loadFromDisk(): void {
         if (this.file === undefined) {
             return;
         }
         try {
             const carried = carriedBundleSchema.parse(JSON.parse(readFileSync(this.file, "utf8")));
-            this.take(carried, "data folder");
+            this.apply(carried, "data folder");
         }
         catch (err) {
-            this.log.debug("no bundle in the data folder", { error: asError(err).message });
+            this.log.debug("no valid bundle in the data folder", { error: asError(err).message });
         }
     }
 
-    private writeFolder(carried: CarriedBundle): void {
+    private saveToDisk(carried: CarriedBundle): void {
         if (this.file === undefined) {
             return;
         }
@@ -224,10 +224,10 @@
             renameSync(`${this.file}.new`, this.file);
         }
         catch (err) {
-            this.log.warn("bundle not written to the data folder", { error: asError(err).message });
+            this.log.warn("bundle write to the data folder failed", { error: asError(err).message });
         }
     }
 }
 
-const keysOf = (bundle: Bundle): OperatorKeys =>
+const operatorKeysOf = (bundle: Bundle): OperatorKeys =>
     Object.fromEntries(Object.entries(bundle.operator).map(([operator, { publicKey }]) => [operator, publicKey]));
--- a/packages/daemon/src/controllers/drain.ts
+++ b/packages/daemon/src/controllers/drain.ts
@@ -1,4 +1,4 @@
-/** A graceful stop: no request in flight is interrupted. */
+/** Graceful shutdown: requests in flight run to completion, up to the drain timeout. */
 import { Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 
@@ -9,12 +9,12 @@
 
 const pollMs = 50;
 
-/** Time in which balancers and peers learn that the instance is leaving, in milliseconds. */
-const noticeMs = 500;
-const parallelHandOvers = 16;
+/** Wait before the handover, so that load balancers and peers learn that the instance is leaving. */
+const leaveNoticeMs = 500;
+const maxConcurrentHandOvers = 16;
 
-/** What the drain works with. */
-export interface DrainParts {
+/** Dependencies of {@link Drain}. */
+export interface DrainDependencies {
     readonly owner: Owner;
     readonly callers: CallerServer;
     readonly membership: Membership;
@@ -23,26 +23,26 @@
     readonly log: Logger;
 }
 
-/** Drains the instance once. */
+/** Drains the instance; runs at most once. */
 export class Drain {
     private draining: Promise<void> | undefined;
 
-    constructor(private readonly parts: DrainParts) {}
+    constructor(private readonly deps: DrainDependencies) {}
 
-    /** Announces the leave, hands the slots over, and waits for all requests to end. */
+    /** Announces that the instance is leaving, hands its slots over, and waits for all requests to end. */
     run(): Promise<void> {
         this.draining ??= this.drain();
         return this.draining;
     }
 
     private async drain(): Promise<void> {
-        const { callers, log, membership, owner, seconds } = this.parts;
+        const { callers, log, membership, owner, seconds } = this.deps;
         const progress = new Progress(seconds * 1000);
         membership.leaving = true;
-        membership.beatNow();
+        membership.sendHeartbeatsNow();
         log.info("draining", { active: owner.active, requests: callers.active });
         try {
-            await progress.sleep(noticeMs);
+            await progress.sleep(leaveNoticeMs);
             await this.handOverAll(progress);
             while (owner.active > 0 || callers.active > 0) {
                 await progress.sleep(pollMs);
@@ -54,26 +54,26 @@
         }
         finally {
             callers.stopAccepting();
-            await this.finishLate(progress);
+            await this.waitForLateRequests(progress);
             progress.dispose();
         }
     }
 
-    /** Answers requests that came on open connections just before the port was closed. */
-    private async finishLate(progress: Progress): Promise<void> {
-        const { callers, owner } = this.parts;
+    /** Waits for requests that arrived on open connections just before the port was closed. */
+    private async waitForLateRequests(progress: Progress): Promise<void> {
+        const { callers, owner } = this.deps;
         while (owner.active + callers.active > 0 && !progress.signal.aborted) {
             await progress.sleep(pollMs).catch(() => {});
         }
     }
 
     private async handOverAll(progress: Progress): Promise<void> {
-        const queue = this.parts.slots.all().map(slot => slot.slot);
+        const queue = this.deps.slots.all().map(slot => slot.slot);
         const worker = async (): Promise<void> => {
             for (let slot = queue.shift(); slot !== undefined; slot = queue.shift()) {
-                await this.parts.slots.handOver(slot, progress);
+                await this.deps.slots.handOver(slot, progress);
             }
         };
-        await Promise.all(Array.from({ length: parallelHandOvers }, worker));
+        await Promise.all(Array.from({ length: maxConcurrentHandOvers }, worker));
     }
 }
--- a/packages/daemon/src/controllers/engineMemory.ts
+++ b/packages/daemon/src/controllers/engineMemory.ts
@@ -1,4 +1,4 @@
-/** Engine memory of programs: what is believed to be cached, kept over pauses, and released at the end. */
+/** Engine memory of programs: estimates what is cached, and controls retention during pauses and release at the end. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger, Metrics } from "@marigolddrift/common";
 import { CacheView, decideRetention, PauseModel } from "@marigolddrift/policy";
@@ -6,11 +6,11 @@
 
 import type { EngineClient } from "../upstreams/engineClient.js";
 
-const orderTimeoutMs = 2_000;
+const requestTimeoutMs = 2_000;
 const releaseRetryMs = 1_000;
-const maxReleaseTries = 10;
+const maxReleaseAttempts = 10;
 
-/** A program between two calls. */
+/** A pause of a program between two calls. */
 export interface Pause {
     readonly program: string;
     readonly worker: string;
@@ -20,78 +20,78 @@
     readonly cost: CostModel;
 }
 
-/** Believes, decides and orders what engines hold. */
+/** Tracks and controls the prefixes that engines hold for programs. */
 export class EngineMemory {
-    readonly view = new CacheView();
-    readonly pauses = new PauseModel();
+    readonly cacheView = new CacheView();
+    readonly pauseModel = new PauseModel();
 
     constructor(
         private readonly engines: Pick<EngineClient, "release" | "export">,
         private readonly log: Logger,
         private readonly metrics: Metrics,
-        /** Whether prefixes are demoted or dropped at pauses; otherwise the engine decides alone. */
-        private readonly retains = true,
+        /** Whether prefixes are demoted or dropped during pauses; if not, eviction is left to the engine. */
+        private readonly managesRetention = true,
     ) {}
 
-    /** Decides what happens to a prefix while its program pauses, and orders it. */
+    /** Decides whether a prefix is kept, demoted or dropped while its program pauses, and applies the decision. */
     onPause(pause: Pause): RetentionDecision {
         const decision = decideRetention({
             tokens: pause.tokens,
-            expectedPauseMs: this.pauses.expectedPauseMs(pause.kind),
-            returnProbability: this.pauses.returnProbability(pause.kind),
+            expectedPauseMs: this.pauseModel.expectedPauseMs(pause.kind),
+            returnProbability: this.pauseModel.returnProbability(pause.kind),
             memoryPressure: pause.memoryPressure,
             canExport: true,
             cost: pause.cost,
         });
-        if (!this.retains) {
-            return { ...decision, action: "keep", reason: "the engine decides" };
+        if (!this.managesRetention) {
+            return { ...decision, action: "keep", reason: "eviction is left to the engine" };
         }
         this.metrics.count(`retention.${decision.action}`);
         if (decision.action === "demote") {
             void this.export(pause.worker, pause.program);
         }
         else if (decision.action === "drop") {
-            this.view.onDropped(pause.program, pause.worker);
+            this.cacheView.onDropped(pause.program, pause.worker);
             void this.release(pause.worker, pause.program);
         }
         return decision;
     }
 
-    /** Releases everything that a program may hold. */
+    /** Releases the prefixes of an ended program on all workers that may hold one. */
     onEnded(program: string): void {
-        for (const worker of this.view.forget(program)) {
+        for (const worker of this.cacheView.forget(program)) {
             void this.release(worker, program);
         }
     }
 
-    /** Orders a worker to drop a program's prefix; tries again until it did or is gone. */
+    /** Makes a worker drop a program's prefix; retries up to {@link maxReleaseAttempts} times. */
     async release(worker: string, program: string): Promise<void> {
-        for (let tries = 0; tries < maxReleaseTries; tries++) {
-            const progress = new Progress(orderTimeoutMs);
+        for (let attempt = 0; attempt < maxReleaseAttempts; attempt++) {
+            const progress = new Progress(requestTimeoutMs);
             try {
                 await this.engines.release(worker, program, progress);
                 this.metrics.count("memory.released");
                 return;
             }
             catch (err) {
-                this.log.debug("release failed", { worker, error: asError(err).message });
+                this.log.debug("prefix release failed", { worker, error: asError(err).message });
                 await new Promise(resolve => setTimeout(resolve, releaseRetryMs));
             }
             finally {
                 progress.dispose();
             }
         }
-        this.log.warn("prefix not released; the sweep will find it", { worker });
+        this.log.warn("prefix not released; the next sweep will retry", { worker });
     }
 
     private async export(worker: string, program: string): Promise<void> {
-        const progress = new Progress(orderTimeoutMs);
+        const progress = new Progress(requestTimeoutMs);
         try {
             await this.engines.export(worker, program, progress);
-            this.view.onExported(program, worker);
+            this.cacheView.onExported(program, worker);
         }
         catch (err) {
-            this.log.debug("export failed", { worker, error: asError(err).message });
+            this.log.debug("prefix export failed", { worker, error: asError(err).message });
         }
         finally {
             progress.dispose();
--- a/packages/daemon/src/controllers/groupCommit.ts
+++ b/packages/daemon/src/controllers/groupCommit.ts
@@ -1,4 +1,4 @@
-/** Stores the mutations of many slots together, so that the number of writes follows the instances and not the calls. */
+/** Group commit of slot mutations, so that the write rate depends on the number of instances and not of calls. */
 import { asError, ProblemError, Progress } from "@marigolddrift/common";
 import type { Logger, Metrics } from "@marigolddrift/common";
 import {
@@ -22,21 +22,21 @@
 /** Key of a slot's record. */
 export const slotKey = (slot: number): string => `/marigolddrift/slots/${String(slot).padStart(5, "0")}`;
 
-/** Writes per second that all instances together may cause. */
-const fleetWritesPerSecond = 400;
+/** Limit on the writes per second of all instances together. */
+const maxFleetWritesPerSecond = 400;
 const maxSlotsPerWrite = 64;
 const maxBytesPerWrite = 1_000_000;
 const attemptTimeoutMs = 1_500;
 const minRetryMs = 100;
 const maxRetryMs = 2_000;
 
-interface Write {
+interface SlotWrite {
     readonly slot: OwnedSlot;
     readonly bytes: Buffer;
     readonly revision: number;
 }
 
-/** What the commit needs to know. */
+/** Settings and callbacks of {@link GroupCommit}. */
 export interface GroupCommitOptions {
     /** Number of instances that share the store. */
     instances(): number;
@@ -44,7 +44,7 @@
     onLost(slot: OwnedSlot): void;
 }
 
-/** Writes the dirty slots of this instance, one write at a time. */
+/** Writes the dirty slots of this instance to the store, one transaction at a time. */
 export class GroupCommit {
     private readonly dirty = new Set<OwnedSlot>();
     private running = false;
@@ -59,7 +59,7 @@
         private readonly metrics: Metrics,
     ) {}
 
-    /** Notes that a slot has mutations to store. */
+    /** Marks a slot as dirty, and starts the commit loop if it is not running. */
     schedule(slot: OwnedSlot): void {
         this.dirty.add(slot);
         if (!this.running && !this.stopped) {
@@ -72,7 +72,7 @@
         this.stopped = true;
     }
 
-    /** Reads the record of a slot. */
+    /** Reads the record of a slot from the store. */
     async read(slot: number, progress: Progress): Promise<StoredRecord | undefined> {
         const stored = await this.store.get(slotKey(slot), progress);
         return stored === undefined ? undefined : { record: unpackRecord(stored.value), revision: stored.revision };
@@ -81,7 +81,7 @@
     private async run(): Promise<void> {
         try {
             while (this.dirty.size > 0 && !this.stopped) {
-                await this.waitForTurn();
+                await this.throttle();
                 await this.commitOnce();
             }
         }
@@ -93,9 +93,9 @@
         }
     }
 
-    /** Spaces writes so that all instances together stay within the store's rate. */
-    private async waitForTurn(): Promise<void> {
-        const interval = 1000 * Math.max(1, this.options.instances()) / fleetWritesPerSecond;
+    /** Delays the next write so that all instances together stay within {@link maxFleetWritesPerSecond}. */
+    private async throttle(): Promise<void> {
+        const interval = 1000 * Math.max(1, this.options.instances()) / maxFleetWritesPerSecond;
         const wait = this.lastWriteAt + interval - Date.now();
         if (wait > 0) {
             await new Promise(resolve => setTimeout(resolve, wait));
@@ -104,7 +104,7 @@
     }
 
     private async commitOnce(): Promise<void> {
-        const writes = this.prepare();
+        const writes = this.beginWrites();
         if (writes.length === 0) {
             return;
         }
@@ -117,20 +117,20 @@
             writes.forEach(write => this.settleApplied(write.slot, outcome.revision));
         }
         else {
-            await this.commitSingly(writes);
+            await this.commitIndividually(writes);
         }
     }
 
     /** Begins the writes of as many slots as fit into one transaction. */
-    private prepare(): Write[] {
-        const writes: Write[] = [];
+    private beginWrites(): SlotWrite[] {
+        const writes: SlotWrite[] = [];
         let size = 0;
         for (const slot of [...this.dirty]) {
             if (writes.length >= maxSlotsPerWrite || size > maxBytesPerWrite) {
                 break;
             }
             this.dirty.delete(slot);
-            const write = this.begin(slot);
+            const write = this.beginSlotWrite(slot);
             if (write !== undefined) {
                 writes.push(write);
                 size += write.bytes.length;
@@ -139,10 +139,10 @@
         return writes;
     }
 
-    private begin(slot: OwnedSlot): Write | undefined {
+    private beginSlotWrite(slot: OwnedSlot): SlotWrite | undefined {
         if (slot.writer.kind === "idle") {
             const next = compact(slot.record, Date.now(), this.options.retentionMs());
-            slot.writer = beginWrite(slot.writer, slot.beginStoring(next), createNonce());
+            slot.writer = beginWrite(slot.writer, slot.beginCommit(next), createNonce());
         }
         if (slot.writer.kind !== "writing") {
             return undefined;
@@ -151,20 +151,20 @@
             return { slot, bytes: packRecord(slot.writer.next), revision: slot.writer.stored.revision };
         }
         catch (err) {
-            this.refuseTooLarge(slot, err);
+            this.rejectTooLarge(slot, err);
             return undefined;
         }
     }
 
-    private refuseTooLarge(slot: OwnedSlot, err: unknown): void {
+    private rejectTooLarge(slot: OwnedSlot, err: unknown): void {
         if (!(err instanceof RecordError) || slot.writer.kind !== "writing") {
             throw err;
         }
         slot.writer = { kind: "idle", stored: slot.writer.stored };
-        slot.onUnstorable(new ProblemError("ledger_full", "notRun", err.message));
+        slot.rejectPending(new ProblemError("ledger_full", "notRun", err.message));
     }
 
-    private async attempt(writes: readonly Write[]): Promise<TxnResult | "unknown"> {
+    private async attempt(writes: readonly SlotWrite[]): Promise<TxnResult | "unknown"> {
         const progress = new Progress(attemptTimeoutMs);
         const compares = writes.map(({ slot, revision }) => ({ key: slotKey(slot.slot), revision }));
         const puts = writes.map(({ slot, bytes }) => ({ key: slotKey(slot.slot), value: bytes }));
@@ -174,7 +174,7 @@
             return await this.store.txn(compares, puts, progress);
         }
         catch (err) {
-            this.log.warn("write to the store failed", { slots: writes.length, error: asError(err).message });
+            this.log.warn("store write failed", { slots: writes.length, error: asError(err).message });
             const applied = err instanceof StoreError ? err.applied : "unknown";
             this.metrics.count(`store.failed_${applied}`);
             writes.forEach(({ slot }) => slot.writer = onNoReply(slot.writer));
@@ -187,12 +187,12 @@
 
     private settleApplied(slot: OwnedSlot, revision: number): void {
         slot.writer = onApplied(slot.writer, revision);
-        slot.onStored();
-        this.again(slot);
+        slot.onCommitted();
+        this.requeueIfDirty(slot);
     }
 
-    /** One slot of a joint write was refused; write each alone to find which. */
-    private async commitSingly(writes: readonly Write[]): Promise<void> {
+    /** Writes each slot alone after a joint write was refused, to find the slot that conflicts. */
+    private async commitIndividually(writes: readonly SlotWrite[]): Promise<void> {
         for (const write of writes) {
             const outcome = await this.attempt([write]);
             if (outcome === "unknown") {
@@ -208,24 +208,24 @@
     }
 
     private async settleRefused(slot: OwnedSlot): Promise<void> {
-        const current = await this.readUntilAnswered(slot);
+        const current = await this.readWithRetry(slot);
         slot.writer = onRefused(slot.writer, current);
-        this.afterReading(slot);
+        this.settleFromReadBack(slot);
     }
 
-    /** Settles writes whose replies were lost. */
-    private async readBack(writes: readonly Write[]): Promise<void> {
+    /** Settles writes without a reply by reading the records back. */
+    private async readBack(writes: readonly SlotWrite[]): Promise<void> {
         for (const { slot } of writes) {
-            const current = await this.readUntilAnswered(slot);
+            const current = await this.readWithRetry(slot);
             slot.writer = onReadBack(slot.writer, current);
-            this.afterReading(slot);
+            this.settleFromReadBack(slot);
         }
     }
 
-    private afterReading(slot: OwnedSlot): void {
+    private settleFromReadBack(slot: OwnedSlot): void {
         if (slot.writer.kind === "idle") {
-            slot.onStored();
-            this.again(slot);
+            slot.onCommitted();
+            this.requeueIfDirty(slot);
         }
         else if (slot.writer.kind === "writing") {
             this.dirty.add(slot);
@@ -236,20 +236,20 @@
         }
     }
 
-    private again(slot: OwnedSlot): void {
+    private requeueIfDirty(slot: OwnedSlot): void {
         if (slot.isDirty) {
             this.dirty.add(slot);
         }
     }
 
-    private async readUntilAnswered(slot: OwnedSlot): Promise<StoredRecord | undefined> {
+    private async readWithRetry(slot: OwnedSlot): Promise<StoredRecord | undefined> {
         for (;;) {
             const progress = new Progress(attemptTimeoutMs);
             try {
                 return await this.read(slot.slot, progress);
             }
             catch (err) {
-                this.log.debug("read from the store failed", { slot: slot.slot, error: asError(err).message });
+                this.log.debug("store read failed", { slot: slot.slot, error: asError(err).message });
                 await new Promise(resolve => setTimeout(resolve, this.retryMs));
                 this.retryMs = Math.min(maxRetryMs, this.retryMs * 2);
                 if (this.stopped) {
--- a/packages/daemon/src/controllers/linkBudget.ts
+++ b/packages/daemon/src/controllers/linkBudget.ts
@@ -1,30 +1,30 @@
-/** Bytes that this instance may send over the link between the regions. */
+/** Rate limit for the bytes that this instance sends over the link between the regions. */
 
 const burstSeconds = 4;
 
 /** A token bucket in bytes. */
 export class LinkBudget {
-    private saved: number;
+    private availableBytes: number;
     private at = Date.now();
 
     constructor(private bytesPerSecond: number) {
-        this.saved = bytesPerSecond * burstSeconds;
+        this.availableBytes = bytesPerSecond * burstSeconds;
     }
 
     setRate(bytesPerSecond: number): void {
         this.bytesPerSecond = bytesPerSecond;
     }
 
-    /** Takes bytes if they are available. */
+    /** Takes bytes from the bucket; returns false, and takes none, if fewer are available. */
     tryTake(bytes: number): boolean {
         const now = Date.now();
         const limit = this.bytesPerSecond * burstSeconds;
-        this.saved = Math.min(limit, this.saved + (now - this.at) / 1000 * this.bytesPerSecond);
+        this.availableBytes = Math.min(limit, this.availableBytes + (now - this.at) / 1000 * this.bytesPerSecond);
         this.at = now;
-        if (this.saved < bytes) {
+        if (this.availableBytes < bytes) {
             return false;
         }
-        this.saved -= bytes;
+        this.availableBytes -= bytes;
         return true;
     }
 }
--- a/packages/daemon/src/controllers/membership.ts
+++ b/packages/daemon/src/controllers/membership.ts
@@ -1,4 +1,4 @@
-/** Knows the live instances: from the platform's list, the seeds of the settings, and heartbeats. */
+/** Discovers peers through the platform's list and the configured seeds, and detects their failures by heartbeats. */
 import { asError, Progress, rendezvous } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 
@@ -14,21 +14,21 @@
 
 const listTimeoutMs = 2_000;
 
-/** Heartbeats of peers in other zones are so many times rarer. */
-const otherZoneFactor = 3;
-const otherRegionFactor = 5;
+/** Factors by which the heartbeat period to peers in other zones and regions is longer than within a zone. */
+const crossZonePeriodFactor = 3;
+const crossRegionPeriodFactor = 5;
 
-/** Bytes per second that this instance's heartbeats may take; with more peers they become rarer. */
+/** Limit on the heartbeat traffic that this instance sends; with more peers, the heartbeat period grows. */
 const maxHeartbeatBytesPerSecond = 6_000;
 
-/** Bytes of an ordinary heartbeat, with the loads of two workers and the frame around it. */
-const heartbeatBytes = 115;
+/** Size of a typical heartbeat, including its frame and the loads of two workers. */
+const typicalHeartbeatBytes = 115;
 
-/** Missed heartbeats after which an instance is suspect, and dead. */
-const suspectAfter = 2;
-const deadAfter = 4;
+/** Missed heartbeat periods after which an instance counts as suspect, and as dead. */
+const suspectAfterMissed = 2;
+const deadAfterMissed = 4;
 
-/** A peer. */
+/** A peer instance and the link to it. */
 export interface Peer {
     readonly address: string;
     readonly link: PeerLink;
@@ -36,23 +36,23 @@
     instance: string | undefined;
     zone: string;
     region: string;
-    lastHeartbeat: number;
-    /** Time until its next heartbeat, as it said, in milliseconds. */
+    lastSeenAt: number;
+    /** Heartbeat period that the peer last announced. */
     periodMs: number;
     bundle: number;
 }
 
-/** What membership tells other controllers. */
+/** Callbacks by which {@link Membership} notifies other controllers. */
 export interface MembershipEvents {
     onPeerUp(peer: Peer): void;
     onPeerDead(instance: string): void;
-    onListed(instances: readonly ListedInstance[]): void;
+    onInstanceList(instances: readonly ListedInstance[]): void;
     onHeartbeat(peer: Peer, heartbeat: Heartbeat): void;
-    /** Contents of this instance's own heartbeat to a peer. */
+    /** Builds this instance's heartbeat to a peer. */
     heartbeat(peer: Peer): Heartbeat;
 }
 
-/** A live instance that may own slots. */
+/** An instance that may own slots. */
 export interface Member {
     readonly instance: string;
     readonly zone: string;
@@ -71,15 +71,15 @@
     leaving = false;
     private readonly peers = new Map<string, Peer>();
     private readonly timers: NodeJS.Timeout[] = [];
-    private beat = 0;
-    /** Factor by which all heartbeats are rarer, so that they stay within their budget. */
-    private stretch = 1;
+    private tickCount = 0;
+    /** Factor applied to all heartbeat periods to keep the traffic within {@link maxHeartbeatBytesPerSecond}. */
+    private periodMultiplier = 1;
 
     constructor(
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly keys: HandshakeKeys,
         private readonly tls: TlsFiles | undefined,
-        private readonly list: InstanceList,
+        private readonly instanceList: InstanceList,
         private readonly options: MembershipOptions,
         private readonly events: MembershipEvents,
         private readonly log: Logger,
@@ -87,8 +87,8 @@
 
     async start(): Promise<void> {
         this.options.seeds.forEach(address => this.addPeer(address, "", ""));
-        await this.pollList();
-        this.timers.push(setInterval(() => void this.pollList(), this.options.listPollMs));
+        await this.pollInstanceList();
+        this.timers.push(setInterval(() => void this.pollInstanceList(), this.options.listPollMs));
         this.timers.push(setInterval(() => this.tick(), this.options.heartbeatMs));
     }
 
@@ -101,36 +101,39 @@
         return [...this.peers.values()];
     }
 
-    /** Peers that are reachable now. */
-    ready(): Peer[] {
+    /** Peers whose link is ready. */
+    connectedPeers(): Peer[] {
         return this.all().filter(peer => peer.link.isReady);
     }
 
-    peerOf(instance: string): Peer | undefined {
+    connectedPeer(instance: string): Peer | undefined {
         return this.all().find(peer => peer.instance === instance && peer.link.isReady);
     }
 
-    /** Whether an instance shows signs of life, as far as this one can tell. */
+    /** Whether another instance counts as alive: its link is ready, or its state is live, suspect or leaving. */
     isAlive(instance: string): boolean {
         const peer = this.all().find(other => other.instance === instance);
-        return peer !== undefined && (peer.link.isReady || isPresent(peer.lifecycle.state));
+        return peer !== undefined && (peer.link.isReady || isConsideredAlive(peer.lifecycle.state));
     }
 
-    /** Instances that may own slots, this one included unless it is leaving. */
+    /** Instances that may own slots, including this one unless it is leaving. */
     members(): Member[] {
-        const own = this.leaving ? [] : [this.self];
-        const others = this.all().filter(peer => peer.instance !== undefined && mayOwn(peer.lifecycle.state));
-        return [...own, ...others.map(({ instance, zone, region }) => ({ instance: instance!, zone, region }))];
+        const local = this.leaving ? [] : [this.identity];
+        const others = this.all().filter(peer => peer.instance !== undefined && mayOwnSlots(peer.lifecycle.state));
+        return [...local, ...others.map(({ instance, zone, region }) => ({ instance: instance!, zone, region }))];
     }
 
-    /** Instances of this zone that are up, this one included. */
+    /** Names of the members in this instance's zone. */
     zoneMembers(): string[] {
-        return this.members().filter(member => member.zone === this.self.zone).map(member =>
+        return this.members().filter(member => member.zone === this.identity.zone).map(member =>
             instanceName(member.instance)
         );
     }
 
-    /** Instance that should own a slot: the zones are tried in the slot's own order. */
+    /**
+     * Instance that should own a slot: rendezvous hashing ranks the zones for each slot, and then the members of the
+     * first zone that has any.
+     */
     preferredOwner(slot: number, zones: readonly string[]): Member | undefined {
         const members = this.members();
         for (const zone of rendezvous(`slot-${slot}`, zones)) {
@@ -150,23 +153,23 @@
         this.peers.forEach(peer => peer.link.send(message));
     }
 
-    /** Sends a heartbeat to all peers at once, for example when this instance begins to leave. */
-    beatNow(): void {
-        this.ready().forEach(peer => peer.link.send(this.events.heartbeat(peer)));
+    /** Sends a heartbeat to all connected peers immediately, for example when this instance starts to leave. */
+    sendHeartbeatsNow(): void {
+        this.connectedPeers().forEach(peer => peer.link.send(this.events.heartbeat(peer)));
     }
 
-    /** A peer connected to this instance. */
+    /** Called when a peer has connected to this instance. */
     onHello(hello: Hello): void {
         const peer = this.addPeer(hello.address, hello.zone, hello.region);
         if (peer !== undefined) {
-            this.identify(peer, hello.instance);
+            this.setInstance(peer, hello.instance);
             peer.zone = hello.zone;
             peer.region = hello.region;
-            this.seen(peer);
+            this.markAlive(peer);
         }
     }
 
-    /** A connection from a peer was closed. */
+    /** Called when a connection from a peer was closed. */
     onClosed(hello: Hello): void {
         const peer = this.peers.get(hello.address);
         if (peer?.instance === hello.instance) {
@@ -179,7 +182,7 @@
         if (peer === undefined || peer.instance !== hello.instance) {
             return;
         }
-        this.seen(peer);
+        this.markAlive(peer);
         peer.bundle = heartbeat.bundle;
         peer.periodMs = heartbeat.periodMs;
         if (heartbeat.leaving) {
@@ -189,22 +192,22 @@
     }
 
     private addPeer(address: string, zone: string, region: string): Peer | undefined {
-        if (address === this.self.address) {
+        if (address === this.identity.address) {
             return undefined;
         }
-        const known = this.peers.get(address);
-        if (known !== undefined) {
-            known.zone ||= zone;
-            known.region ||= region;
-            return known;
+        const existing = this.peers.get(address);
+        if (existing !== undefined) {
+            existing.zone ||= zone;
+            existing.region ||= region;
+            return existing;
         }
-        const link = new PeerLink(address, this.self, this.keys, this.tls, {
-            onUp: instance => this.onUp(address, instance),
-            onDown: refused => this.onDown(address, refused),
+        const link = new PeerLink(address, this.identity, this.keys, this.tls, {
+            onUp: instance => this.onLinkUp(address, instance),
+            onDown: refused => this.onLinkDown(address, refused),
         }, this.log);
         const lifecycle = this.createLifecycle(address);
         const lastHeartbeat = Date.now();
-        const periodMs = this.options.heartbeatMs * otherRegionFactor;
+        const periodMs = this.options.heartbeatMs * crossRegionPeriodFactor;
         const peer: Peer = {
             address,
             link,
@@ -212,7 +215,7 @@
             instance: undefined,
             zone,
             region,
-            lastHeartbeat,
+            lastSeenAt: lastHeartbeat,
             periodMs,
             bundle: 0,
         };
@@ -223,84 +226,87 @@
     private createLifecycle(address: string): InstanceLifecycle {
         return createInstanceLifecycle(state => {
             const peer = this.peers.get(address);
-            this.log.info("instance state", { peer: peer?.instance ?? address, state });
+            this.log.info("instance state changed", { peer: peer?.instance ?? address, state });
             if (state === "dead" && peer?.instance !== undefined) {
                 this.events.onPeerDead(peer.instance);
             }
         });
     }
 
-    private onUp(address: string, instance: string): void {
+    private onLinkUp(address: string, instance: string): void {
         const peer = this.peers.get(address)!;
-        this.identify(peer, instance);
-        this.seen(peer);
+        this.setInstance(peer, instance);
+        this.markAlive(peer);
         this.events.onPeerUp(peer);
         peer.link.send(this.events.heartbeat(peer));
     }
 
-    private onDown(address: string, refused: boolean): void {
+    private onLinkDown(address: string, refused: boolean): void {
         const peer = this.peers.get(address);
         peer?.lifecycle.send(refused ? "lose" : "miss");
     }
 
-    /** Notes who a peer is; a new instance at the same address means that the former one is gone. */
-    private identify(peer: Peer, instance: string): void {
+    /** Sets the instance id of a peer. A new id at the same address means that the previous instance is dead. */
+    private setInstance(peer: Peer, instance: string): void {
         if (peer.instance === instance) {
             return;
         }
-        const former = peer.instance;
+        const previous = peer.instance;
         peer.instance = instance;
-        if (former !== undefined) {
+        if (previous !== undefined) {
             peer.lifecycle = this.createLifecycle(peer.address);
-            this.events.onPeerDead(former);
+            this.events.onPeerDead(previous);
         }
     }
 
-    private seen(peer: Peer): void {
-        peer.lastHeartbeat = Date.now();
+    private markAlive(peer: Peer): void {
+        peer.lastSeenAt = Date.now();
         peer.lifecycle.send("heartbeat");
     }
 
     private tick(): void {
-        this.beat += 1;
-        this.stretch = stretchFor(this.all().map(peer => this.factor(peer)), this.options.heartbeatMs);
+        this.tickCount += 1;
+        this.periodMultiplier = heartbeatPeriodMultiplier(
+            this.all().map(peer => this.periodFactor(peer)),
+            this.options.heartbeatMs,
+        );
         for (const peer of this.peers.values()) {
-            if (this.beat % (this.factor(peer) * this.stretch) === 0) {
+            if (this.tickCount % (this.periodFactor(peer) * this.periodMultiplier) === 0) {
                 peer.link.send(this.events.heartbeat(peer));
             }
-            this.checkHeartbeat(peer);
+            this.checkLiveness(peer);
         }
     }
 
-    /** Time between two heartbeats to a peer, in milliseconds. */
-    periodOf(peer: Peer): number {
-        return this.options.heartbeatMs * this.factor(peer) * this.stretch;
+    /** Time between two heartbeats to a peer. */
+    heartbeatPeriodMs(peer: Peer): number {
+        return this.options.heartbeatMs * this.periodFactor(peer) * this.periodMultiplier;
     }
 
-    private factor(peer: Peer): number {
-        if (peer.zone === this.self.zone) {
+    private periodFactor(peer: Peer): number {
+        if (peer.zone === this.identity.zone) {
             return 1;
         }
-        return peer.region === this.self.region ? otherZoneFactor : otherRegionFactor;
+        return peer.region === this.identity.region ? crossZonePeriodFactor : crossRegionPeriodFactor;
     }
 
-    private checkHeartbeat(peer: Peer): void {
-        const missed = (Date.now() - peer.lastHeartbeat) / peer.periodMs;
-        if (missed > deadAfter) {
+    private checkLiveness(peer: Peer): void {
+        const missed = (Date.now() - peer.lastSeenAt) / peer.periodMs;
+        if (missed > deadAfterMissed) {
             peer.lifecycle.send("lose");
         }
-        else if (missed > suspectAfter) {
+        else if (missed > suspectAfterMissed) {
             peer.lifecycle.send("miss");
         }
     }
 
-    private async pollList(): Promise<void> {
+    private async pollInstanceList(): Promise<void> {
         const progress = new Progress(listTimeoutMs);
         try {
-            const listed = await this.list.read(progress);
+            const listed = await this.instanceList.read(progress);
             listed.filter(entry => entry.kind === "daemon")
                 .forEach(entry => this.addPeer(entry.address, entry.zone, entry.region));
-            this.events.onListed(listed);
+            this.events.onInstanceList(listed);
         }
         catch (err) {
             this.log.debug("instance list unavailable", { error: asError(err).message });
@@ -311,15 +317,16 @@
     }
 }
 
-const isPresent = (state: InstanceState): boolean => state === "live" || state === "suspect" || state === "leaving";
-const mayOwn = (state: InstanceState): boolean => state === "live" || state === "suspect";
+const isConsideredAlive = (state: InstanceState): boolean =>
+    state === "live" || state === "suspect" || state === "leaving";
+const mayOwnSlots = (state: InstanceState): boolean => state === "live" || state === "suspect";
 
 /**
- * Factor by which heartbeats must be rarer to stay within their budget.
+ * Factor by which heartbeat periods must grow to keep the traffic within {@link maxHeartbeatBytesPerSecond}.
  *
- * @param factors Heartbeat periods of the peers, as multiples of `heartbeatMs`.
+ * @param factors Heartbeat period of each peer, as a multiple of `heartbeatMs`.
  */
-export const stretchFor = (factors: readonly number[], heartbeatMs: number): number => {
+export const heartbeatPeriodMultiplier = (factors: readonly number[], heartbeatMs: number): number => {
     const perSecond = factors.reduce((sum, factor) => sum + 1000 / (heartbeatMs * factor), 0);
-    return Math.max(1, Math.ceil(perSecond * heartbeatBytes / maxHeartbeatBytesPerSecond));
+    return Math.max(1, Math.ceil(perSecond * typicalHeartbeatBytes / maxHeartbeatBytesPerSecond));
 };
--- a/packages/daemon/src/controllers/ownedSlot.ts
+++ b/packages/daemon/src/controllers/ownedSlot.ts
@@ -1,4 +1,4 @@
-/** One slot that this instance owns: the confirmed record, and the mutations that wait to be stored. */
+/** A slot that this instance owns: its last stored record, and the mutations that are yet to be stored. */
 import { asError } from "@marigolddrift/common";
 import { openWriter } from "@marigolddrift/ledger";
 import type { SlotRecord, StoredRecord, WriterState } from "@marigolddrift/ledger";
@@ -12,30 +12,30 @@
     reject(err: Error): void;
 }
 
-/** State of an owned slot. */
+/** State of an owned slot, with all mutations applied in memory before they are stored. */
 export class OwnedSlot {
     writer: WriterState;
-    /** Calls that are being worked on. */
+    /** Number of calls in progress. */
     active = 0;
-    /** Set while the slot is being handed over; new calls must wait for the next owner. */
+    /** Set during a handover; new calls must wait for the next owner. */
     closing = false;
-    private working: SlotRecord;
+    private workingRecord: SlotRecord;
     private queued: Waiter[] = [];
-    private storing: Waiter[] = [];
+    private committing: Waiter[] = [];
 
-    /** @param provisional Whether the slot is only held in memory, because the store is away. */
+    /** @param provisional Whether the slot is owned only in memory, because the store is unavailable. */
     constructor(readonly slot: number, stored: StoredRecord, readonly provisional: boolean) {
         this.writer = openWriter(stored);
-        this.working = stored.record;
+        this.workingRecord = stored.record;
     }
 
     get epoch(): number {
-        return this.working.epoch;
+        return this.workingRecord.epoch;
     }
 
-    /** The record with all mutations, stored or not. */
+    /** The record with all mutations, including those that are not stored yet. */
     get record(): SlotRecord {
-        return this.working;
+        return this.workingRecord;
     }
 
     get isDirty(): boolean {
@@ -52,7 +52,7 @@
             return Promise.reject(new NotOwnerError(this.slot));
         }
         try {
-            this.working = mutation(this.working);
+            this.workingRecord = mutation(this.workingRecord);
         }
         catch (err) {
             return Promise.reject(asError(err));
@@ -60,34 +60,34 @@
         return new Promise((resolve, reject) => this.queued.push({ resolve, reject }));
     }
 
-    /** Begins to store what is queued; returns the record to be stored. */
-    beginStoring(compacted: SlotRecord): SlotRecord {
-        this.working = compacted;
-        this.storing = this.queued;
+    /** Starts a commit of the queued mutations; returns the record to be stored. */
+    beginCommit(compacted: SlotRecord): SlotRecord {
+        this.workingRecord = compacted;
+        this.committing = this.queued;
         this.queued = [];
-        return this.working;
+        return this.workingRecord;
     }
 
-    /** What {@link beginStoring} returned is stored. */
-    onStored(): void {
-        this.storing.forEach(waiter => waiter.resolve());
-        this.storing = [];
+    /** Called when the record that {@link beginCommit} returned is stored. */
+    onCommitted(): void {
+        this.committing.forEach(waiter => waiter.resolve());
+        this.committing = [];
     }
 
-    /** What was queued cannot be stored; the record is as it was confirmed. */
-    onUnstorable(err: Error): void {
-        const waiters = [...this.storing, ...this.queued];
-        this.storing = [];
+    /** Rejects all pending mutations, and rolls the record back to the last stored one. */
+    rejectPending(err: Error): void {
+        const waiters = [...this.committing, ...this.queued];
+        this.committing = [];
         this.queued = [];
         if (this.writer.kind !== "lost") {
-            this.working = this.writer.stored.record;
+            this.workingRecord = this.writer.stored.record;
         }
         waiters.forEach(waiter => waiter.reject(err));
     }
 
-    /** Another instance owns the slot. */
+    /** Called when another instance has become the owner; rejects all pending mutations. */
     onLost(): void {
         this.writer = { kind: "lost" };
-        this.onUnstorable(new NotOwnerError(this.slot));
+        this.rejectPending(new NotOwnerError(this.slot));
     }
 }
--- a/packages/daemon/src/controllers/poolOrders.ts
+++ b/packages/daemon/src/controllers/poolOrders.ts
@@ -1,4 +1,4 @@
-/** Orders engines to load models and adapters and to change role; each pool has one orderer with a fencing number. */
+/** Reconciles engines with the models, adapters and role that their pool desires; a fencing token guards each pool. */
 import { asError, parseAddress, Progress, rendezvous } from "@marigolddrift/common";
 import type { Logger, Metrics, Pool } from "@marigolddrift/common";
 import type { Compare, Store } from "@marigolddrift/store";
@@ -9,28 +9,28 @@
 import type { Identity } from "../peers/identity.js";
 import type { EngineClient, EngineLoadReport, EngineOrder } from "../upstreams/engineClient.js";
 import { instanceKey } from "./leaseKeeper.js";
-import type { LeaseKeeper } from "./leaseKeeper.js";
+import type { InstanceLease } from "./leaseKeeper.js";
 import type { Membership } from "./membership.js";
 
 const tickMs = 2_000;
 const storeTimeoutMs = 1_500;
 
-/** An order is given up after this time, so that it cannot arrive later; in milliseconds. */
-export const maxOrderDelayMs = 5_000;
+/** An order is aborted after this time, so that it cannot arrive later. */
+export const orderTimeoutMs = 5_000;
 
-/** Loads that one orderer has under way at a time, out of regard for the weight store. */
-const parallelLoads = 1;
+/** Limit on the model loads that a controller starts in a pool at a time; it protects the weight store. */
+const maxConcurrentLoads = 1;
 
 const poolRecordSchema = z.strictObject({
     pool: z.string(),
-    /** Raised by each change of orderer; the fencing number of its orders. */
+    /** Incremented by each change of controller; the fencing token of its orders. */
     epoch: z.number().int().min(1),
     owner: z.string(),
     nonce: z.string(),
 });
 type PoolRecord = z.infer<typeof poolRecordSchema>;
 
-/** Orders that bring a worker from its actual to the desired state. */
+/** Orders that bring a worker from its actual state to the state that its pool desires. */
 export const ordersFor = (pool: Pool, actual: EngineLoadReport, fence: number): EngineOrder[] => {
     const models = pool.models.filter(model => !actual.models.includes(model));
     const adapters = pool.adapters.filter(adapter => !actual.adapters.includes(adapter));
@@ -45,16 +45,19 @@
     ];
 };
 
-/** Earliest time at which a new orderer may order a pool whose engines do not check fencing numbers. */
-export const firstOrderAt = (claimedAt: number, checksFencing: boolean): number =>
-    checksFencing ? claimedAt : claimedAt + maxOrderDelayMs;
+/**
+ * Earliest time at which a new controller of a pool may send orders. If the engines do not check fencing tokens, it
+ * must wait until no order of the previous controller can arrive.
+ */
+export const earliestOrderAt = (claimedAt: number, checksFencing: boolean): number =>
+    checksFencing ? claimedAt : claimedAt + orderTimeoutMs;
 
-interface Ordered {
+interface PoolClaim {
     readonly record: PoolRecord;
     readonly claimedAt: number;
 }
 
-/** What an operator sees of one worker of a pool. */
+/** Desired and actual state of a worker, as shown to operators. */
 export interface WorkerStatus {
     readonly pool: string;
     readonly worker: string;
@@ -63,11 +66,11 @@
     readonly pending: readonly string[];
 }
 
-/** What the orders need from the rest of the daemon. */
-export interface PoolOrdersParts {
-    readonly self: Identity;
+/** Dependencies of {@link PoolReconciler}. */
+export interface PoolReconcilerDependencies {
+    readonly identity: Identity;
     readonly store: Store;
-    readonly lease: LeaseKeeper;
+    readonly lease: InstanceLease;
     readonly membership: Membership;
     readonly engines: EngineClient;
     pools(): Readonly<Record<string, Pool>>;
@@ -75,14 +78,14 @@
     readonly metrics: Metrics;
 }
 
-/** The pools that this instance orders. */
-export class PoolOrders {
-    private readonly ordered = new Map<string, Ordered>();
+/** Reconciles the pools that this instance controls; each pool has one controller at a time. */
+export class PoolReconciler {
+    private readonly claims = new Map<string, PoolClaim>();
     private readonly statuses = new Map<string, WorkerStatus>();
     private timer: NodeJS.Timeout | undefined;
-    private busy = false;
+    private ticking = false;
 
-    constructor(private readonly parts: PoolOrdersParts) {}
+    constructor(private readonly deps: PoolReconcilerDependencies) {}
 
     start(): void {
         this.timer = setInterval(() => void this.tick(), tickMs);
@@ -92,59 +95,59 @@
         clearInterval(this.timer);
     }
 
-    /** Desired and actual state of the workers that this instance orders. */
+    /** Desired and actual state of the workers in the pools that this instance controls. */
     status(): WorkerStatus[] {
         return [...this.statuses.values()];
     }
 
     private async tick(): Promise<void> {
-        if (this.busy || this.parts.membership.leaving || !this.parts.lease.isProven()) {
+        if (this.ticking || this.deps.membership.leaving || !this.deps.lease.isValid()) {
             return;
         }
-        this.busy = true;
+        this.ticking = true;
         try {
-            for (const [name, pool] of Object.entries(this.parts.pools())) {
-                await this.tend(name, pool);
+            for (const [name, pool] of Object.entries(this.deps.pools())) {
+                await this.reconcilePool(name, pool);
             }
         }
         catch (err) {
-            this.parts.log.debug("orders not given", { error: asError(err).message });
+            this.deps.log.debug("pool orders not sent", { error: asError(err).message });
         }
         finally {
-            this.busy = false;
+            this.ticking = false;
         }
     }
 
-    private async tend(name: string, pool: Pool): Promise<void> {
+    private async reconcilePool(name: string, pool: Pool): Promise<void> {
         if (!this.isPreferred(name)) {
-            this.ordered.delete(name);
+            this.claims.delete(name);
             return;
         }
-        const ordered = this.ordered.get(name) ?? await this.claim(name);
-        if (ordered === undefined || Date.now() < firstOrderAt(ordered.claimedAt, pool.checksFencing)) {
+        const poolClaim = this.claims.get(name) ?? await this.claim(name);
+        if (poolClaim === undefined || Date.now() < earliestOrderAt(poolClaim.claimedAt, pool.checksFencing)) {
             return;
         }
-        let loads = 0;
+        let loadsStarted = 0;
         for (const text of pool.workers) {
-            const started = await this.orderWorker(
+            const started = await this.reconcileWorker(
                 name,
                 pool,
                 parseAddress(text).address,
-                ordered,
-                loads < parallelLoads,
+                poolClaim,
+                loadsStarted < maxConcurrentLoads,
             );
-            loads += started ? 1 : 0;
+            loadsStarted += started ? 1 : 0;
         }
     }
 
     private isPreferred(name: string): boolean {
-        const members = this.parts.membership.members().map(member => instanceName(member.instance));
-        return rendezvous(`pool-${name}`, members)[0] === instanceName(this.parts.self.instance);
+        const members = this.deps.membership.members().map(member => instanceName(member.instance));
+        return rendezvous(`pool-${name}`, members)[0] === instanceName(this.deps.identity.instance);
     }
 
-    /** Becomes the orderer: only when the former one's lease has ended. */
-    private async claim(name: string): Promise<Ordered | undefined> {
-        const { store, self, log } = this.parts;
+    /** Becomes the controller of a pool; succeeds only if the previous controller's lease has ended. */
+    private async claim(name: string): Promise<PoolClaim | undefined> {
+        const { store, identity, log } = this.deps;
         const progress = new Progress(storeTimeoutMs);
         try {
             const key = `/marigolddrift/pools/${name}`;
@@ -152,42 +155,47 @@
             const former = stored === undefined ?
                 undefined :
                 poolRecordSchema.parse(JSON.parse(stored.value.toString()));
-            const record = { pool: name, epoch: (former?.epoch ?? 0) + 1, owner: self.instance, nonce: createNonce() };
-            const lapsed: Compare[] = former === undefined || former.owner === self.instance ?
+            const record = {
+                pool: name,
+                epoch: (former?.epoch ?? 0) + 1,
+                owner: identity.instance,
+                nonce: createNonce(),
+            };
+            const fence: Compare[] = former === undefined || former.owner === identity.instance ?
                 [] :
                 [{ key: instanceKey(former.owner), revision: 0 }];
-            const compares = [{ key, revision: stored?.revision ?? 0 }, ...lapsed];
+            const compares = [{ key, revision: stored?.revision ?? 0 }, ...fence];
             const result = await store.txn(compares, [{ key, value: Buffer.from(JSON.stringify(record)) }], progress);
             if (!result.succeeded) {
                 return undefined;
             }
-            const ordered = { record, claimedAt: Date.now() };
-            this.ordered.set(name, ordered);
-            log.info("pool ordered", { pool: name, epoch: record.epoch });
-            return ordered;
+            const poolClaim = { record, claimedAt: Date.now() };
+            this.claims.set(name, poolClaim);
+            log.info("pool claimed", { pool: name, epoch: record.epoch });
+            return poolClaim;
         }
         finally {
             progress.dispose();
         }
     }
 
-    /** Orders what a worker lacks; returns whether a model is being loaded. */
-    private async orderWorker(
+    /** Sends a worker its next order, if any; returns whether a model load was started or may have been. */
+    private async reconcileWorker(
         name: string,
         pool: Pool,
         worker: string,
-        ordered: Ordered,
+        poolClaim: PoolClaim,
         mayLoad: boolean,
     ): Promise<boolean> {
-        const { engines, lease, log, metrics } = this.parts;
-        const progress = new Progress(maxOrderDelayMs);
+        const { engines, lease, log, metrics } = this.deps;
+        const progress = new Progress(orderTimeoutMs);
         try {
             const actual = await engines.load(worker, progress);
-            const orders = ordersFor(pool, actual, ordered.record.epoch);
-            this.note(name, pool, worker, actual, orders);
+            const orders = ordersFor(pool, actual, poolClaim.record.epoch);
+            this.recordStatus(name, pool, worker, actual, orders);
             const next = orders.find(order => mayLoad || order.order !== "loadModel");
-            // A lapsed lease means that another instance may order this pool by now.
-            if (next === undefined || !lease.isProven()) {
+            // After the lease has lapsed, another instance may already control this pool.
+            if (next === undefined || !lease.isValid()) {
                 return false;
             }
             log.info("engine order", { pool: name, worker, ...next });
@@ -204,7 +212,7 @@
         }
     }
 
-    private note(
+    private recordStatus(
         name: string,
         pool: Pool,
         worker: string,
--- a/packages/daemon/src/controllers/preferredOwners.ts
+++ b/packages/daemon/src/controllers/preferredOwners.ts
@@ -1,7 +1,7 @@
-/** Which instance should own each slot, worked out again only when the members change. */
+/** Caches the preferred owner of each slot. */
 import type { Member, Membership } from "./membership.js";
 
-/** Preferred owners by slot. */
+/** Preferred owners by slot; recomputed only when the members, the zones or the slot count change. */
 export class PreferredOwners {
     private key = "";
     private slots: (Member | undefined)[] = [];
--- a/packages/daemon/src/controllers/programs.ts
+++ b/packages/daemon/src/controllers/programs.ts
@@ -1,4 +1,4 @@
-/** The programs of the slots that this instance owns. */
+/** Registry of the programs on the slots that this instance owns. */
 import { decodeProgramId, encodeProgramId, newNonce, ProblemError } from "@marigolddrift/common";
 import type { Bundle, Logger, ProgramClaims } from "@marigolddrift/common";
 import { handedOverOf } from "@marigolddrift/ledger";
@@ -9,18 +9,18 @@
 import type { EndReason } from "../programs/programState.js";
 import type { OwnedSlot } from "./ownedSlot.js";
 
-/** Bytes of messages that are held for all programs together. */
+/** Limit on the message bytes that are held in memory for all programs together. */
 const maxHistoryBytes = 64 * 1024 * 1024;
 
 /** Name of a program in the ledger: the random part of its id. */
 export const ledgerName = (claims: ProgramClaims): string => claims.nonce;
 
-/** What the programs need from the rest of the daemon. */
+/** Settings and callbacks of {@link Programs}. */
 export interface ProgramsOptions {
     bundle(): Bundle;
-    /** Keys with which ids are signed; the first one signs. */
+    /** Keys that verify the signatures of program ids; the first one signs new ids. */
     idKeys(): readonly string[];
-    /** A program ended: its engine memory must be released. */
+    /** Called when a program has ended; its engine memory must be released. */
     onEnded(program: ProgramState): void;
 }
 
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Decodes the id that a caller sent.
+     * Decodes and authorizes the id that a caller sent.
      *
      * @throws ProblemError `unknown_program` or `forbidden`.
      */
@@ -54,21 +54,21 @@
         return claims;
     }
 
-    /** Claims of an id whatever its workspace, or undefined. */
+    /** Decodes an id of any workspace; undefined if the id is not valid. */
     decode(id: string): ProgramClaims | undefined {
         return decodeProgramId(id, this.options.idKeys());
     }
 
-    /** Opens a program on an owned slot. Nothing is written: the id carries what a later owner needs to know. */
+    /** Opens a program on an owned slot. Nothing is written, because the id carries all that a later owner needs. */
     open(req: OpenRequest, slot: OwnedSlot): ProgramState {
         const bundle = this.options.bundle();
         const agent = bundle.agent[req.agent];
         if (agent === undefined) {
-            const known = Object.keys(bundle.agent).join(", ");
+            const knownAgents = Object.keys(bundle.agent).join(", ");
             throw new ProblemError(
                 "invalid_request",
                 "notRun",
-                `Agent "${req.agent}" does not exist; there are ${known}.`,
+                `Agent "${req.agent}" does not exist; there are ${knownAgents}.`,
             );
         }
         const budget = Math.min(req.budget, agent.maxBudget);
@@ -90,20 +90,20 @@
     }
 
     /**
-     * The state of a program on an owned slot; it is built from the id and the ledger if this instance has none.
+     * Returns the state of a program on an owned slot; rebuilds it from the id and the ledger if it is not in memory.
      *
-     * @throws ProblemError if the program ended, or cannot be known while the store is away.
+     * @throws ProblemError if the agent no longer exists, or the state cannot be read while the store is unavailable.
      */
     load(id: string, claims: ProgramClaims, slot: OwnedSlot): ProgramState {
-        const known = this.programs.get(id);
-        if (known !== undefined) {
-            return known;
+        const existing = this.programs.get(id);
+        if (existing !== undefined) {
+            return existing;
         }
         if (slot.provisional) {
             throw new ProblemError(
                 "not_durable",
                 "notRun",
-                "The program's ledger cannot be read while the store is away.",
+                "The program's ledger cannot be read while the store is unavailable.",
                 {
                     retryAfterSeconds: 5,
                 },
@@ -114,10 +114,10 @@
             throw new ProblemError("invalid_request", "notRun", `Agent "${claims.agent}" was removed from the bundle.`);
         }
         const entry = slot.record.programs[ledgerName(claims)];
-        const handed = handedOverOf(slot.record, ledgerName(claims));
-        const program = new ProgramState(id, claims, agent, entry, false, handed);
+        const handedOver = handedOverOf(slot.record, ledgerName(claims));
+        const program = new ProgramState(id, claims, agent, entry, false, handedOver);
         this.programs.set(id, program);
-        this.log.info("program inherited", { program: claims.nonce, slot: slot.slot, epoch: slot.epoch });
+        this.log.info("program taken over", { program: claims.nonce, slot: slot.slot, epoch: slot.epoch });
         return program;
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Ends programs whose deadline has passed, and forgets ended ones after a while. */
+    /** Ends and removes programs whose deadline has passed, and trims the histories held in memory. */
     expire(now: number): void {
         for (const [id, program] of this.programs) {
             if (program.claims.deadline <= now) {
@@ -144,7 +144,7 @@
         this.trimHistories();
     }
 
-    /** Forgets the programs of a slot that was lost. */
+    /** Removes the programs of a slot that this instance no longer owns. */
     dropSlot(slot: number): void {
         for (const [id, program] of this.programs) {
             if (program.claims.slot === slot) {
@@ -153,10 +153,10 @@
         }
     }
 
-    /** Records exactly what each program of a slot has spent, before the slot is handed over. */
-    settle(record: SlotRecord): SlotRecord {
+    /** Adds the exact spending and the handover state of each program to a slot's record, before a handover. */
+    finalizeRecord(record: SlotRecord): SlotRecord {
         const programs = Object.fromEntries(
-            Object.entries(record.programs).map(([name, entry]) => [name, passOn(entry, record.epoch)]),
+            Object.entries(record.programs).map(([name, entry]) => [name, carryForward(entry, record.epoch)]),
         );
         for (const program of this.programs.values()) {
             if (program.claims.slot === record.slot) {
@@ -172,8 +172,8 @@
 
     private trimHistories(): void {
         let bytes = 0;
-        const byUse = this.all().sort((a, b) => b.lastUsedAt - a.lastUsedAt);
-        for (const program of byUse) {
+        const byRecency = this.all().sort((a, b) => b.lastUsedAt - a.lastUsedAt);
+        for (const program of byRecency) {
             bytes += program.history.heldBytes;
             if (bytes > maxHistoryBytes) {
                 program.history.dropMessages();
@@ -182,6 +182,6 @@
     }
 }
 
-/** Entry of a program that made no call under this owner: what the former owner handed over still holds. */
-const passOn = (entry: ProgramEntry, epoch: number): ProgramEntry =>
+/** Carries the previous owner's handover state over to the next epoch, for a program without state on this owner. */
+const carryForward = (entry: ProgramEntry, epoch: number): ProgramEntry =>
     entry.handedOver?.epoch === epoch - 1 ? { ...entry, handedOver: { ...entry.handedOver, epoch } } : entry;
--- a/packages/daemon/src/controllers/slotAcquirer.ts
+++ b/packages/daemon/src/controllers/slotAcquirer.ts
@@ -1,24 +1,24 @@
-/** Acquires slots that this instance should own: claims them, or asks their owners for them. */
+/** Acquires slots that this instance should own: claims them, or requests a handover from their owners. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 
 import type { Membership, Peer } from "./membership.js";
 import type { SlotClaims } from "./slotClaims.js";
 import type { SlotDirectory } from "./slotDirectory.js";
-import { handOverPatienceMs } from "./slotHandOvers.js";
+import { handOverGraceMs } from "./slotHandOvers.js";
 
-const parallelClaims = 8;
+const maxConcurrentClaims = 8;
 const replyTimeoutMs = 2_000;
 
-/** Time between two requests to hand the same slot over, in milliseconds. */
-const askAgainMs = 500;
+/** Minimum time between two handover requests for the same slot. */
+const requestIntervalMs = 500;
 
-/** Acquires slots, some at a time. */
+/** Acquires slots with a limited number of claims at a time. */
 export class SlotAcquirer {
-    private readonly askedAt = new Map<number, number>();
+    private readonly requestedAt = new Map<number, number>();
 
     constructor(
-        private readonly self: string,
+        private readonly instance: string,
         private readonly directory: SlotDirectory,
         private readonly membership: Membership,
         private readonly claims: SlotClaims,
@@ -32,34 +32,34 @@
                 await this.acquire(slot);
             }
         };
-        await Promise.all(Array.from({ length: parallelClaims }, worker));
+        await Promise.all(Array.from({ length: maxConcurrentClaims }, worker));
     }
 
     private async acquire(slot: number): Promise<void> {
         const owner = this.directory.ownerOf(slot);
-        const peer = owner === undefined || owner === this.self ? undefined : this.membership.peerOf(owner);
+        const peer = owner === undefined || owner === this.instance ? undefined : this.membership.connectedPeer(owner);
         if (peer === undefined) {
-            // The record may name a live instance that does not know of it, for example after a lost reply.
-            const blocker = await this.claims.claim(slot);
-            const named = blocker === undefined ? undefined : this.membership.peerOf(blocker);
-            return named === undefined ? undefined : this.ask(slot, named);
+            // The record may name a live instance that does not know it owns the slot, for example after a lost reply.
+            const recordedOwner = await this.claims.claim(slot);
+            const recordedPeer = recordedOwner === undefined ? undefined : this.membership.connectedPeer(recordedOwner);
+            return recordedPeer === undefined ? undefined : this.requestHandOver(slot, recordedPeer);
         }
-        if ((this.askedAt.get(slot) ?? 0) + askAgainMs <= Date.now()) {
-            this.askedAt.set(slot, Date.now());
-            await this.ask(slot, peer);
+        if ((this.requestedAt.get(slot) ?? 0) + requestIntervalMs <= Date.now()) {
+            this.requestedAt.set(slot, Date.now());
+            await this.requestHandOver(slot, peer);
         }
     }
 
-    /** Asks the owner for a slot, and claims it once it is given up. */
-    private async ask(slot: number, peer: Peer): Promise<void> {
-        const progress = new Progress(replyTimeoutMs + handOverPatienceMs);
+    /** Requests a handover from the slot's owner, and claims the slot once the owner has released it. */
+    private async requestHandOver(slot: number, peer: Peer): Promise<void> {
+        const progress = new Progress(replyTimeoutMs + handOverGraceMs);
         try {
             if (await peer.link.ask({ kind: "handOver", slot }, progress) === true) {
                 await this.claims.claim(slot);
             }
         }
         catch (err) {
-            this.log.debug("hand-over not answered", { slot, error: asError(err).message });
+            this.log.debug("handover request failed", { slot, error: asError(err).message });
         }
         finally {
             progress.dispose();
--- a/packages/daemon/src/controllers/slotClaims.ts
+++ b/packages/daemon/src/controllers/slotClaims.ts
@@ -1,4 +1,4 @@
-/** Takes slots over: only if the record is unchanged, and the former owner's lease has ended. */
+/** Claims slots: each claim succeeds only if the record is unchanged and the previous owner's lease has ended. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import {
@@ -23,30 +23,30 @@
 
 const claimTimeoutMs = 2_000;
 
-/** What claims need from the rest of the daemon. */
-export interface SlotClaimsParts {
+/** Dependencies of {@link SlotClaims}. */
+export interface SlotClaimsDependencies {
     readonly instance: string;
     readonly store: Store;
-    readonly commit: GroupCommit;
-    /** Whether an instance shows signs of life; its slots are not taken then. */
+    readonly groupCommit: GroupCommit;
+    /** Whether an instance is alive; the slots of a live instance are not claimed. */
     isAlive(instance: string): boolean;
-    /** Whether this instance owns a slot already. */
+    /** Whether this instance already owns a slot durably. */
     isOwned(slot: number): boolean;
     onClaimed(slot: OwnedSlot): void;
     readonly log: Logger;
 }
 
-/** Claims slots, each at most once at a time. */
+/** Claims slots, with at most one claim per slot at a time. */
 export class SlotClaims {
     private readonly claiming = new Map<number, Promise<string | undefined>>();
 
-    constructor(private readonly parts: SlotClaimsParts) {}
+    constructor(private readonly deps: SlotClaimsDependencies) {}
 
     isClaiming(slot: number): boolean {
         return this.claiming.has(slot);
     }
 
-    /** Tries to take a slot over; returns the live instance that the record names as its owner, if that prevents it. */
+    /** Tries to claim a slot; returns the recorded owner if that instance is alive, which prevents the claim. */
     claim(slot: number): Promise<string | undefined> {
         let claim = this.claiming.get(slot);
         if (claim === undefined) {
@@ -57,24 +57,24 @@
     }
 
     private async claimOnce(slot: number): Promise<string | undefined> {
-        if (this.parts.isOwned(slot)) {
+        if (this.deps.isOwned(slot)) {
             return undefined;
         }
         const progress = new Progress(claimTimeoutMs);
         try {
-            const stored = await this.parts.commit.read(slot, progress);
-            const former = stored?.record.owner ?? "";
-            if (former !== "" && former !== this.parts.instance && this.parts.isAlive(former)) {
-                return former;
+            const stored = await this.deps.groupCommit.read(slot, progress);
+            const formerOwner = stored?.record.owner ?? "";
+            if (formerOwner !== "" && formerOwner !== this.deps.instance && this.deps.isAlive(formerOwner)) {
+                return formerOwner;
             }
             const writer = await this.writeClaim(slot, stored, progress);
             if (writer.kind === "idle") {
-                this.parts.onClaimed(new OwnedSlot(slot, writer.stored, false));
+                this.deps.onClaimed(new OwnedSlot(slot, writer.stored, false));
             }
             return undefined;
         }
         catch (err) {
-            this.parts.log.debug("slot not claimed", { slot, error: asError(err).message });
+            this.deps.log.debug("slot not claimed", { slot, error: asError(err).message });
             return undefined;
         }
         finally {
@@ -83,26 +83,26 @@
     }
 
     private async writeClaim(slot: number, stored: StoredRecord | undefined, progress: Progress): Promise<WriterState> {
-        const { instance } = this.parts;
-        const former = stored?.record.owner ?? "";
-        const isForeign = former !== "" && former !== instance;
+        const { instance } = this.deps;
+        const formerOwner = stored?.record.owner ?? "";
+        const isTakeover = formerOwner !== "" && formerOwner !== instance;
         const base = stored ?? { record: takeOver(undefined, slot, ""), revision: 0 };
         const next = takeOver(stored?.record, slot, instance);
-        const fence: Compare[] = isForeign ? [{ key: instanceKey(former), revision: 0 }] : [];
+        const fence: Compare[] = isTakeover ? [{ key: instanceKey(formerOwner), revision: 0 }] : [];
         let writer = beginWrite(openWriter(base), next, createNonce());
         while (writer.kind === "writing") {
-            writer = await this.attempt(slot, writer, fence, progress);
+            writer = await this.attemptWrite(slot, writer, fence, progress);
         }
         return writer;
     }
 
-    private async attempt(
+    private async attemptWrite(
         slot: number,
         writer: WriterState & { kind: "writing"; },
         fence: readonly Compare[],
         progress: Progress,
     ): Promise<WriterState> {
-        const { commit, store } = this.parts;
+        const { groupCommit: groupCommit, store } = this.deps;
         const compares = [{ key: slotKey(slot), revision: writer.stored.revision }, ...fence];
         try {
             const result = await store.txn(
@@ -113,15 +113,15 @@
             if (result.succeeded) {
                 return onApplied(writer, result.revision);
             }
-            const settled = onRefused(writer, await commit.read(slot, progress));
-            // The record is unchanged, so the former owner's lease must still hold.
+            const settled = onRefused(writer, await groupCommit.read(slot, progress));
+            // The record is unchanged, so the previous owner's lease must still exist.
             return settled.kind === "writing" ? { kind: "lost" } : settled;
         }
         catch (err) {
             if (!(err instanceof StoreError) || err.applied === "no") {
                 throw err;
             }
-            return onReadBack(onNoReply(writer), await commit.read(slot, progress));
+            return onReadBack(onNoReply(writer), await groupCommit.read(slot, progress));
         }
     }
 }
--- a/packages/daemon/src/controllers/slotDirectory.ts
+++ b/packages/daemon/src/controllers/slotDirectory.ts
@@ -1,35 +1,39 @@
-/** Who owns which slot, from the announcements of all instances. */
+/** Directory of slot owners, built from the announcements of all instances. */
 
-interface Entry {
+interface DirectoryEntry {
     readonly owner: string;
     readonly epoch: number;
 }
 
-/** Owners by slot; of two announcements the one with the higher epoch counts. */
+/** Owners by slot. An announcement with a lower epoch than the known one is ignored. */
 export class SlotDirectory {
-    private readonly entries = new Map<number, Entry>();
-
-    /** Replaces what an instance announced; `owned` is a flat list of slots and epochs. */
-    announce(owner: string, owned: readonly number[]): void {
-        const kept = new Set<number>();
+    private readonly entries = new Map<number, DirectoryEntry>();
+
+    /**
+     * Replaces the entries of an instance by its new announcement.
+     *
+     * @param owned Flat list of alternating slots and epochs.
+     */
+    recordAnnouncement(owner: string, owned: readonly number[]): void {
+        const announcedSlots = new Set<number>();
         for (let index = 0; index + 1 < owned.length; index += 2) {
             const slot = owned[index]!;
             const epoch = owned[index + 1]!;
-            kept.add(slot);
+            announcedSlots.add(slot);
             if (epoch >= this.epochOf(slot)) {
                 this.entries.set(slot, { owner, epoch });
             }
         }
         for (const [slot, entry] of this.entries) {
-            if (entry.owner === owner && !kept.has(slot)) {
+            if (entry.owner === owner && !announcedSlots.has(slot)) {
                 this.entries.delete(slot);
             }
         }
     }
 
-    /** Forgets an instance that is dead. */
-    forget(owner: string): void {
-        this.announce(owner, []);
+    /** Removes all entries of an instance, for example because it is dead. */
+    removeOwner(owner: string): void {
+        this.recordAnnouncement(owner, []);
     }
 
     ownerOf(slot: number): string | undefined {
--- a/packages/daemon/src/controllers/slotHandOvers.ts
+++ b/packages/daemon/src/controllers/slotHandOvers.ts
@@ -1,4 +1,4 @@
-/** Prepares slots for the next owner: waits for calls in progress, and writes down what only this owner knows. */
+/** Prepares slots for their next owner: waits for active calls, and stores the state that only this owner holds. */
 import { asError } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 import { handOver } from "@marigolddrift/ledger";
@@ -6,25 +6,25 @@
 
 import type { Mutation, OwnedSlot } from "./ownedSlot.js";
 
-/** Time for which a slot stays open for new calls while its hand-over waits for a quiet moment, in milliseconds. */
-export const handOverPatienceMs = 3_000;
+/** Time for which a slot still accepts new calls while its handover waits for the active calls to end. */
+export const handOverGraceMs = 3_000;
 const pollMs = 50;
 
-/** Gives slots up in an orderly way. */
+/** Closes slots and releases them in the store, so that the next owner need not wait for the lease to lapse. */
 export class SlotHandOvers {
     /**
-     * @param write Changes a slot's record durably.
-     * @param settle Adds what only the owner knows to the record.
+     * @param mutate Applies a mutation to a slot's record durably.
+     * @param finalizeRecord Adds the state that only the owner holds to the record.
      */
     constructor(
-        private readonly write: (slot: OwnedSlot, mutation: Mutation) => Promise<void>,
-        private readonly settle: (record: SlotRecord) => SlotRecord,
+        private readonly mutate: (slot: OwnedSlot, mutation: Mutation) => Promise<void>,
+        private readonly finalizeRecord: (record: SlotRecord) => SlotRecord,
         private readonly log: Logger,
     ) {}
 
-    /** Closes a slot and stores its last record; returns false, with the slot open again, if calls go on for too long. */
+    /** Closes a slot and stores its final record; reopens it and returns false if active calls do not end in time. */
     async prepare(slot: OwnedSlot, progress: Progress): Promise<boolean> {
-        if (!await this.waitUntilQuiet(slot, progress)) {
+        if (!await this.waitUntilIdle(slot, progress)) {
             slot.closing = false;
             return false;
         }
@@ -33,20 +33,20 @@
             return true;
         }
         try {
-            // Once the write is under way the slot stays closed: the record may name no owner at any moment.
-            await this.write(slot, record => handOver(this.settle(record)));
+            // From here on the slot stays closed: the write may remove the owner from the record at any moment.
+            await this.mutate(slot, record => handOver(this.finalizeRecord(record)));
         }
         catch (err) {
-            this.log.warn("slot lost during its hand-over", { slot: slot.slot, error: asError(err).message });
+            this.log.warn("slot lost during its handover", { slot: slot.slot, error: asError(err).message });
         }
         return true;
     }
 
-    private async waitUntilQuiet(slot: OwnedSlot, progress: Progress): Promise<boolean> {
-        const patience = Date.now() + handOverPatienceMs;
+    private async waitUntilIdle(slot: OwnedSlot, progress: Progress): Promise<boolean> {
+        const closeAt = Date.now() + handOverGraceMs;
         try {
             while (slot.active > 0) {
-                slot.closing ||= Date.now() > patience;
+                slot.closing ||= Date.now() > closeAt;
                 await progress.sleep(pollMs);
             }
             return true;
--- a/packages/daemon/src/controllers/slots.ts
+++ b/packages/daemon/src/controllers/slots.ts
@@ -1,4 +1,4 @@
-/** Owns slots: claims, verifies, loses and hands them over. */
+/** Ownership of slots: acquires, verifies, loses and hands them over. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Logger, Metrics, Progress } from "@marigolddrift/common";
 import { takeOver } from "@marigolddrift/ledger";
@@ -8,7 +8,7 @@
 import type { Identity } from "../peers/identity.js";
 import { NotOwnerError } from "../peers/peerErrors.js";
 import { GroupCommit } from "./groupCommit.js";
-import { LeaseKeeper } from "./leaseKeeper.js";
+import { InstanceLease } from "./leaseKeeper.js";
 import type { Membership } from "./membership.js";
 import { OwnedSlot } from "./ownedSlot.js";
 import type { Mutation } from "./ownedSlot.js";
@@ -22,79 +22,79 @@
 
 const announceDelayMs = 10;
 
-/** What the slots need from the rest of the daemon. */
+/** Settings and callbacks of {@link Slots}. */
 export interface SlotsOptions {
     readonly leaseSeconds: number;
     slotCount(): number;
     zones(): readonly string[];
     retentionMs(): number;
-    /** The instance became the owner. */
+    /** Called when this instance has become the owner of a slot. */
     onOwned(slot: OwnedSlot): void;
-    /** The instance is the owner no more. */
+    /** Called when this instance no longer owns a slot. */
     onReleased(slot: number): void;
-    /** Writes what only the owner knows into the record, before a hand-over. */
+    /** Adds the state that only the owner holds in memory to the record, before a handover. */
     beforeHandOver(record: SlotRecord): SlotRecord;
 }
 
-/** Leave to work on a slot. */
+/** Permission to work on a slot; the holder must call `leave` when it is done. */
 export interface SlotHold {
     readonly slot: OwnedSlot;
-    /** Whether the store can be written now; without it only idempotent calls may run. */
+    /** Whether the store can be written now; if not, only idempotent calls may run. */
     readonly durable: boolean;
     leave(): void;
 }
 
-/** The slots of this instance. */
+/** The slots that this instance owns. */
 export class Slots {
     readonly directory = new SlotDirectory();
-    readonly commit: GroupCommit;
-    readonly lease: LeaseKeeper;
-    /** Raised whenever the set of owned slots changes. */
+    readonly groupCommit: GroupCommit;
+    readonly lease: InstanceLease;
+    /** Incremented whenever the set of owned slots changes. */
     version = 1;
     private readonly owned = new Map<number, OwnedSlot>();
     private readonly claims: SlotClaims;
     private readonly acquirer: SlotAcquirer;
     private timer: NodeJS.Timeout | undefined;
     private announceTimer: NodeJS.Timeout | undefined;
-    private readonly preferred: PreferredOwners;
+    private readonly preferredOwners: PreferredOwners;
     private readonly handOvers: SlotHandOvers;
 
     constructor(
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly store: Store,
         private readonly membership: Membership,
         private readonly options: SlotsOptions,
         private readonly log: Logger,
         private readonly metrics: Metrics,
     ) {
-        this.commit = new GroupCommit(
+        this.groupCommit = new GroupCommit(
             store,
             {
                 instances: () => membership.members().length,
                 retentionMs: () => options.retentionMs(),
-                onLost: slot => this.onLost(slot.slot, "a write was refused"),
+                onLost: slot => this.onLost(slot.slot, "a write was refused because the record had changed"),
             },
             log,
             metrics,
         );
-        this.preferred = new PreferredOwners(membership, () => options.slotCount(), () => options.zones());
+        this.preferredOwners = new PreferredOwners(membership, () => options.slotCount(), () => options.zones());
         const write = (owned: OwnedSlot, mutation: Mutation): Promise<void> => this.mutate(owned, mutation);
         this.handOvers = new SlotHandOvers(write, record => options.beforeHandOver(record), log);
         this.claims = new SlotClaims({
-            instance: self.instance,
+            instance: identity.instance,
             store,
-            commit: this.commit,
+            groupCommit: this.groupCommit,
             isAlive: instance => membership.isAlive(instance),
             isOwned: slot => this.owned.get(slot)?.provisional === false,
-            onClaimed: slot => this.own(slot),
+            onClaimed: slot => this.addOwned(slot),
             log,
         });
-        this.acquirer = new SlotAcquirer(self.instance, this.directory, membership, this.claims, log);
-        this.lease = new LeaseKeeper(
+        this.acquirer = new SlotAcquirer(identity.instance, this.directory, membership, this.claims, log);
+        this.lease = new InstanceLease(
             store,
-            self.instance,
+            identity.instance,
             options.leaseSeconds,
-            progress => this.verifyAll(progress),
+            progress => this.verifyOwnedSlots(progress),
             log,
         );
     }
@@ -107,11 +107,11 @@
 
     async stop(): Promise<void> {
         clearInterval(this.timer);
-        this.commit.stop();
+        this.groupCommit.stop();
         await this.lease.stop();
     }
 
-    /** Owned slots as a flat list of slots and epochs. */
+    /** Durably owned slots, as a flat list of alternating slots and epochs. */
     announcement(): number[] {
         return [...this.owned.values()].filter(slot => !slot.provisional).flatMap(slot => [slot.slot, slot.epoch]);
     }
@@ -120,14 +120,14 @@
         return [...this.owned.values()];
     }
 
-    /** Number of slots that this instance owns and should own. */
-    get settledSlots(): number {
+    /** Number of durably owned slots for which this instance is the preferred owner. */
+    get preferredSlotCount(): number {
         const isSettled = (slot: OwnedSlot): boolean =>
-            !slot.provisional && this.preferred.ownerOf(slot.slot)?.instance === this.self.instance;
+            !slot.provisional && this.preferredOwners.ownerOf(slot.slot)?.instance === this.identity.instance;
         return this.all().filter(isSettled).length;
     }
 
-    /** Whether a program can be opened here. */
+    /** Whether a program can be opened on a slot of this instance. */
     get hasOpenSlot(): boolean {
         return this.all().some(slot => !slot.closing);
     }
@@ -136,20 +136,20 @@
         return this.owned.get(slot);
     }
 
-    /** Instance that a request for a slot goes to: the announced owner, or who will own it. */
+    /** Instance to route a request for a slot to: the live announced owner, or else the preferred owner. */
     routeTo(slot: number): string | undefined {
         if (this.owned.get(slot)?.closing === false) {
-            return this.self.instance;
+            return this.identity.instance;
         }
         const announced = this.directory.ownerOf(slot);
         if (announced !== undefined && this.membership.isAlive(announced)) {
             return announced;
         }
-        return this.preferred.ownerOf(slot)?.instance;
+        return this.preferredOwners.ownerOf(slot)?.instance;
     }
 
     /**
-     * Enters a slot to work on a call.
+     * Registers a call on a slot; claims the slot first if it has no live owner and should be owned here.
      *
      * @throws NotOwnerError if another instance owns the slot.
      */
@@ -157,7 +157,7 @@
         if (!this.owned.has(slot)) {
             await this.claimIfPreferred(slot, progress);
         }
-        const durable = await this.proveOwnership(slot, progress);
+        const durable = await this.ensureOwnership(slot, progress);
         const owned = this.owned.get(slot);
         if (owned === undefined || owned.closing) {
             throw new NotOwnerError(slot, this.directory.ownerOf(slot));
@@ -166,59 +166,59 @@
         return { slot: owned, durable: durable && !owned.provisional, leave: () => owned.active -= 1 };
     }
 
-    /** Whether a held slot is provably still owned; cheap enough for each token. */
-    isProven(slot: OwnedSlot): boolean {
-        return !slot.isLost && (slot.provisional || this.lease.isProven());
+    /** Whether a slot is provably still owned; cheap enough to be checked for each token. */
+    isProvablyOwned(slot: OwnedSlot): boolean {
+        return !slot.isLost && (slot.provisional || this.lease.isValid());
     }
 
     /**
-     * Makes sure that a held slot was not lost, for example while this process was paused.
+     * Verifies that a slot has not been lost, for example while this process was paused.
      *
-     * @throws NotOwnerError if it was lost.
+     * @throws NotOwnerError if the slot was lost.
      */
-    async recheck(slot: OwnedSlot, progress: Progress): Promise<void> {
-        if (!this.isProven(slot)) {
-            await this.proveOwnership(slot.slot, progress);
+    async verifyOwned(slot: OwnedSlot, progress: Progress): Promise<void> {
+        if (!this.isProvablyOwned(slot)) {
+            await this.ensureOwnership(slot.slot, progress);
         }
         if (this.owned.get(slot.slot) !== slot || slot.isLost) {
             throw new NotOwnerError(slot.slot, this.directory.ownerOf(slot.slot));
         }
     }
 
-    /** Changes the record of an owned slot; resolves once the change is stored. */
+    /** Applies a mutation to the record of an owned slot; resolves once it is stored. */
     async mutate(slot: OwnedSlot, mutation: Mutation): Promise<void> {
         const stored = slot.mutate(mutation);
-        this.commit.schedule(slot);
+        this.groupCommit.schedule(slot);
         await stored;
     }
 
-    /** A slot on which a program can be opened, or undefined. */
-    async openableSlot(random: () => number): Promise<OwnedSlot | undefined> {
+    /** Picks a random slot on which a program can be opened, if there is one. */
+    async pickOpenSlot(random: () => number): Promise<OwnedSlot | undefined> {
         const open = this.all().filter(slot => !slot.closing && !slot.isLost);
         if (open.length > 0) {
             return open[Math.floor(random() * open.length)];
         }
-        return await this.lease.prove() === "storeAway" ? this.holdProvisionally() : undefined;
+        return await this.lease.ensureValid() === "storeAway" ? this.holdProvisionally() : undefined;
     }
 
-    /** Peers announced their slots. */
-    onAnnounced(owner: string, owned: readonly number[]): void {
-        this.directory.announce(owner, owned);
+    /** Called when a peer has announced its slots. */
+    onPeerAnnouncement(owner: string, owned: readonly number[]): void {
+        this.directory.recordAnnouncement(owner, owned);
         for (let index = 0; index + 1 < owned.length; index += 2) {
-            const mine = this.owned.get(owned[index]!);
-            if (mine !== undefined && !mine.provisional && owned[index + 1]! > mine.epoch) {
-                this.onLost(mine.slot, "a peer announced a later epoch");
+            const ownedSlot = this.owned.get(owned[index]!);
+            if (ownedSlot !== undefined && !ownedSlot.provisional && owned[index + 1]! > ownedSlot.epoch) {
+                this.onLost(ownedSlot.slot, "a peer announced a higher epoch");
             }
         }
     }
 
-    /** Gives a slot up, once no call is being worked on; returns whether it is given up. */
+    /** Releases a slot once it has no active calls; returns whether this instance no longer owns it. */
     async handOver(slot: number, progress: Progress): Promise<boolean> {
         if (this.owned.get(slot) === undefined) {
-            await this.claimIfNamed(slot, progress);
+            await this.claimIfRecorded(slot, progress);
         }
         const owned = this.owned.get(slot);
-        if (owned === undefined || owned.closing || !this.lease.isProven()) {
+        if (owned === undefined || owned.closing || !this.lease.isValid()) {
             return owned === undefined;
         }
         if (!await this.handOvers.prepare(owned, progress)) {
@@ -230,10 +230,10 @@
         return true;
     }
 
-    /** Takes a slot whose record names this instance although it does not hold the slot. */
-    private async claimIfNamed(slot: number, progress: Progress): Promise<void> {
-        const stored = await this.commit.read(slot, progress);
-        if (stored?.record.owner === this.self.instance && !this.membership.leaving) {
+    /** Claims a slot that is not owned here although its record names this instance as the owner. */
+    private async claimIfRecorded(slot: number, progress: Progress): Promise<void> {
+        const stored = await this.groupCommit.read(slot, progress);
+        if (stored?.record.owner === this.identity.instance && !this.membership.leaving) {
             await this.claims.claim(slot);
         }
     }
@@ -242,73 +242,73 @@
         if (this.membership.leaving) {
             return;
         }
-        const wanted: number[] = [];
+        const missing: number[] = [];
         for (let slot = 0; slot < this.options.slotCount(); slot++) {
-            const mine = this.owned.get(slot);
-            const isPreferred = this.preferred.ownerOf(slot)?.instance === this.self.instance;
-            if (isPreferred && (mine === undefined || mine.provisional) && !this.claims.isClaiming(slot)) {
-                wanted.push(slot);
+            const ownedSlot = this.owned.get(slot);
+            const isPreferred = this.preferredOwners.ownerOf(slot)?.instance === this.identity.instance;
+            if (isPreferred && (ownedSlot === undefined || ownedSlot.provisional) && !this.claims.isClaiming(slot)) {
+                missing.push(slot);
             }
         }
-        if (this.lease.isProven()) {
-            void this.acquirer.acquireAll(wanted);
+        if (this.lease.isValid()) {
+            void this.acquirer.acquireAll(missing);
         }
     }
 
     private async claimIfPreferred(slot: number, progress: Progress): Promise<void> {
         const owner = this.directory.ownerOf(slot);
         const ownerAlive = owner !== undefined && this.membership.isAlive(owner);
-        const isPreferred = this.preferred.ownerOf(slot)?.instance === this.self.instance;
+        const isPreferred = this.preferredOwners.ownerOf(slot)?.instance === this.identity.instance;
         if (!isPreferred || ownerAlive || this.membership.leaving) {
-            throw new NotOwnerError(slot, ownerAlive ? owner : this.preferred.ownerOf(slot)?.instance);
+            throw new NotOwnerError(slot, ownerAlive ? owner : this.preferredOwners.ownerOf(slot)?.instance);
         }
-        if (await this.lease.prove() === "proven") {
+        if (await this.lease.ensureValid() === "proven") {
             await progress.race(this.claims.claim(slot));
         }
     }
 
-    private own(slot: OwnedSlot): void {
+    private addOwned(slot: OwnedSlot): void {
         this.owned.set(slot.slot, slot);
-        this.changed();
+        this.onOwnedChanged();
         this.log.info("slot owned", { slot: slot.slot, epoch: slot.epoch, provisional: slot.provisional });
         this.metrics.count("slots.owned");
         this.options.onOwned(slot);
     }
 
-    /** Holds a slot in memory while the store is away, so that new programs can be opened. */
+    /** Owns a slot only in memory while the store is unavailable, so that new programs can be opened. */
     private holdProvisionally(): OwnedSlot | undefined {
         const count = this.options.slotCount();
         for (let slot = 0; slot < count; slot++) {
             const announced = this.directory.ownerOf(slot);
-            const free = announced === undefined || !this.membership.isAlive(announced);
-            if (free && this.preferred.ownerOf(slot)?.instance === this.self.instance) {
-                const record = { ...takeOver(undefined, slot, this.self.instance), epoch: 0 };
+            const isUnowned = announced === undefined || !this.membership.isAlive(announced);
+            if (isUnowned && this.preferredOwners.ownerOf(slot)?.instance === this.identity.instance) {
+                const record = { ...takeOver(undefined, slot, this.identity.instance), epoch: 0 };
                 const owned = new OwnedSlot(slot, { record, revision: 0 }, true);
-                this.own(owned);
+                this.addOwned(owned);
                 return owned;
             }
         }
         return undefined;
     }
 
-    /** Returns whether the store can be written. */
-    private async proveOwnership(slot: number, progress: Progress): Promise<boolean> {
-        if (this.lease.isProven()) {
+    /** Validates the lease, and claims a provisional slot durably; returns whether the store can be written. */
+    private async ensureOwnership(slot: number, progress: Progress): Promise<boolean> {
+        if (this.lease.isValid()) {
             return true;
         }
-        const state = await progress.race(this.lease.prove());
+        const state = await progress.race(this.lease.ensureValid());
         if (state === "proven" && this.owned.get(slot)?.provisional === true) {
             await progress.race(this.claims.claim(slot));
         }
         return state === "proven";
     }
 
-    /** Reads every owned slot after the lease had lapsed. */
-    private async verifyAll(progress: Progress): Promise<void> {
+    /** Reads every owned slot from the store after the lease lapsed, and releases those that were taken over. */
+    private async verifyOwnedSlots(progress: Progress): Promise<void> {
         for (const slot of this.all().filter(owned => !owned.provisional)) {
-            const current = await this.commit.read(slot.slot, progress);
-            if (current?.record.owner !== this.self.instance || current.record.epoch !== slot.epoch) {
-                this.onLost(slot.slot, "another instance took it while the lease had lapsed");
+            const current = await this.groupCommit.read(slot.slot, progress);
+            if (current?.record.owner !== this.identity.instance || current.record.epoch !== slot.epoch) {
+                this.onLost(slot.slot, "another instance took the slot over while the lease had lapsed");
             }
         }
     }
@@ -324,23 +324,23 @@
 
     private release(slot: number, reason: string): void {
         this.owned.delete(slot);
-        this.changed();
+        this.onOwnedChanged();
         this.log.info("slot released", { slot, reason });
         this.options.onReleased(slot);
     }
 
-    /** Notes a change of the owned slots, and announces all changes of the same moment together. */
-    private changed(): void {
+    /** Records a change of the owned slots, and announces changes within {@link announceDelayMs} together. */
+    private onOwnedChanged(): void {
         this.version += 1;
-        this.directory.announce(this.self.instance, this.announcement());
+        this.directory.recordAnnouncement(this.identity.instance, this.announcement());
         this.announceTimer ??= setTimeout(() => {
             this.announceTimer = undefined;
             this.membership.broadcast({ type: "slots", version: this.version, owned: this.announcement() });
         }, announceDelayMs);
     }
 
-    /** Refuses work that needs the store while it is away. */
-    static notDurable(detail: string): ProblemError {
+    /** Error for a call that needs the store while the store is unavailable. */
+    static notDurableError(detail: string): ProblemError {
         return new ProblemError("not_durable", "notRun", detail, { retryAfterSeconds: 5 });
     }
 }
--- a/packages/daemon/src/controllers/sweeper.ts
+++ b/packages/daemon/src/controllers/sweeper.ts
@@ -1,4 +1,4 @@
-/** Finds engine memory that is held for programs that have ended, also when their owner died in between. */
+/** Releases engine memory of programs that have ended, including those whose owner died before it could do so. */
 import { asError, Progress } from "@marigolddrift/common";
 import type { Logger, Metrics } from "@marigolddrift/common";
 import { z } from "zod";
@@ -14,14 +14,14 @@
 const sweepMs = 5_000;
 const sweepTimeoutMs = 4_000;
 
-/** After a change of owner, a program that makes no call within this time loses its engine memory; in milliseconds. */
-const unknownGraceMs = 15_000;
+/** After an ownership change, a program that makes no call within this time loses its engine memory. */
+const unknownProgramGraceMs = 15_000;
 
 const endedSchema = z.array(z.string());
 
-/** What the sweeper works with. */
-export interface SweeperParts {
-    readonly self: Identity;
+/** Dependencies of {@link Sweeper}. */
+export interface SweeperDependencies {
+    readonly identity: Identity;
     readonly slots: Slots;
     readonly programs: Programs;
     readonly upstreams: Upstreams;
@@ -32,13 +32,13 @@
     readonly metrics: Metrics;
 }
 
-/** Sweeps the workers that this instance polls. */
+/** Periodically sweeps the workers that this instance polls. */
 export class Sweeper {
     private timer: NodeJS.Timeout | undefined;
-    /** When this instance first saw a program that it has no state of. */
+    /** Time at which each program without local state was first seen, by program id. */
     private readonly unknownSince = new Map<string, number>();
 
-    constructor(private readonly parts: SweeperParts) {}
+    constructor(private readonly deps: SweeperDependencies) {}
 
     start(): void {
         this.timer = setInterval(() => void this.sweep(), sweepMs);
@@ -48,82 +48,89 @@
         clearInterval(this.timer);
     }
 
-    /** Of some programs of this instance's slots, those whose engine memory may go. */
-    endedOf(programs: readonly string[]): string[] {
+    /**
+     * Selects the programs whose engine memory can be released: their id is invalid or expired, they have ended, or
+     * they made no call within the grace period after an ownership change. Unexpired programs on slots that this
+     * instance does not own are never selected.
+     */
+    selectReleasable(programs: readonly string[]): string[] {
         const now = Date.now();
-        return programs.filter(id => this.isEnded(id, now));
+        return programs.filter(id => this.isReleasable(id, now));
     }
 
-    private isEnded(id: string, now: number): boolean {
-        const claims = this.parts.programs.decode(id);
+    private isReleasable(id: string, now: number): boolean {
+        const claims = this.deps.programs.decode(id);
         if (claims === undefined || claims.deadline <= now) {
             return true;
         }
-        if (this.parts.slots.get(claims.slot) === undefined) {
+        if (this.deps.slots.get(claims.slot) === undefined) {
             return false;
         }
-        const program = this.parts.programs.get(id);
+        const program = this.deps.programs.get(id);
         if (program !== undefined) {
             this.unknownSince.delete(id);
             return program.isEnded;
         }
         const since = this.unknownSince.get(id) ?? now;
         this.unknownSince.set(id, since);
-        return now - since > unknownGraceMs;
+        return now - since > unknownProgramGraceMs;
     }
 
     private async sweep(): Promise<void> {
         const progress = new Progress(sweepTimeoutMs);
         try {
-            for (const worker of this.parts.upstreams.ownWorkers()) {
+            for (const worker of this.deps.upstreams.assignedWorkerAddresses()) {
                 await this.sweepWorker(worker, progress);
             }
         }
         catch (err) {
-            this.parts.log.debug("sweep incomplete", { error: asError(err).message });
+            this.deps.log.debug("sweep incomplete", { error: asError(err).message });
         }
         finally {
             progress.dispose();
-            this.forgetOld();
+            this.pruneUnknown();
         }
     }
 
     private async sweepWorker(worker: string, progress: Progress): Promise<void> {
         let held: string[];
         try {
-            held = (await this.parts.engines.held(worker, progress)).filter(id => id !== "");
+            held = (await this.deps.engines.held(worker, progress)).filter(id => id !== "");
         }
         catch {
             return;
         }
-        for (const [owner, programs] of this.byOwner(held)) {
-            for (const id of await this.askOwner(owner, programs, progress)) {
-                this.parts.metrics.count("memory.swept");
-                this.parts.log.info("sweeping a prefix", { worker, program: this.parts.programs.decode(id)?.nonce });
-                void this.parts.memory.release(worker, id);
+        for (const [owner, programs] of this.groupByOwner(held)) {
+            for (const id of await this.queryOwner(owner, programs, progress)) {
+                this.deps.metrics.count("memory.swept");
+                this.deps.log.info("releasing prefix of ended program", {
+                    worker,
+                    program: this.deps.programs.decode(id)?.nonce,
+                });
+                void this.deps.memory.release(worker, id);
             }
         }
     }
 
-    private byOwner(held: readonly string[]): Map<string, string[]> {
-        const byOwner = new Map<string, string[]>();
+    private groupByOwner(held: readonly string[]): Map<string, string[]> {
+        const groups = new Map<string, string[]>();
         for (const id of held) {
-            const claims = this.parts.programs.decode(id);
+            const claims = this.deps.programs.decode(id);
             const owner = claims === undefined || claims.deadline <= Date.now() ?
-                this.parts.self.instance :
-                this.parts.slots.routeTo(claims.slot);
+                this.deps.identity.instance :
+                this.deps.slots.routeTo(claims.slot);
             if (owner !== undefined) {
-                byOwner.set(owner, [...byOwner.get(owner) ?? [], id]);
+                groups.set(owner, [...groups.get(owner) ?? [], id]);
             }
         }
-        return byOwner;
+        return groups;
     }
 
-    private async askOwner(owner: string, programs: string[], progress: Progress): Promise<string[]> {
-        if (owner === this.parts.self.instance) {
-            return this.endedOf(programs);
+    private async queryOwner(owner: string, programs: string[], progress: Progress): Promise<string[]> {
+        if (owner === this.deps.identity.instance) {
+            return this.selectReleasable(programs);
         }
-        const peer = this.parts.membership.peerOf(owner);
+        const peer = this.deps.membership.connectedPeer(owner);
         if (peer === undefined) {
             return [];
         }
@@ -131,10 +138,10 @@
         return ended.success ? ended.data : [];
     }
 
-    private forgetOld(): void {
-        const horizon = Date.now() - 4 * unknownGraceMs;
+    private pruneUnknown(): void {
+        const cutoff = Date.now() - 4 * unknownProgramGraceMs;
         for (const [id, since] of this.unknownSince) {
-            if (since < horizon) {
+            if (since < cutoff) {
                 this.unknownSince.delete(id);
             }
         }
--- a/packages/daemon/src/controllers/upstream.ts
+++ b/packages/daemon/src/controllers/upstream.ts
@@ -1,4 +1,4 @@
-/** What this instance knows of one upstream. */
+/** Circuit state, load and observed latency of one upstream, as seen by this instance. */
 import { createUpstreamLifecycle } from "../lifecycles/upstreamLifecycle.js";
 import type { UpstreamLifecycle } from "../lifecycles/upstreamLifecycle.js";
 import type { UpstreamNotice, WorkerLoad } from "../peers/messages.js";
@@ -6,34 +6,34 @@
 type LeavingSource = UpstreamNotice["source"];
 
 const failuresToTrip = 3;
-const minBrokenMs = 1_000;
-const maxBrokenMs = 15_000;
-const slownessRate = 0.05;
+const minBackoffMs = 1_000;
+const maxBackoffMs = 15_000;
+const slowdownSmoothing = 0.05;
 const maxSlowdown = 20;
 
-/** Time for which own calls are remembered, so that load reports can be compared with them; in milliseconds. */
+/** Retention of {@link Upstream.inFlightHistory}, with which load reports are compared. */
 const callHistoryMs = 10_000;
 
-/** A load report with the time at which it was true. */
+/** A load report with the time at which it was measured. */
 export interface ReceivedLoad {
     readonly load: WorkerLoad;
     readonly at: number;
-    /** Calls of this instance that were on the worker then. */
-    readonly ownInFlight: number;
+    /** Calls that this instance had in flight on the worker at that time. */
+    readonly localInFlight: number;
 }
 
-/** One engine or one upstream of a service. */
+/** An engine, or an upstream of a service. */
 export class Upstream {
     readonly lifecycle: UpstreamLifecycle;
-    /** Observed time of calls relative to what was expected. */
+    /** Moving average of the observed latency of calls, relative to the expected latency; at least 1. */
     slowdown = 1;
     reported: ReceivedLoad | undefined;
     private failures = 0;
-    private brokenMs = minBrokenMs;
-    private brokenUntil = 0;
+    private backoffMs = minBackoffMs;
+    private backoffUntil = 0;
     private calls = 0;
-    /** Calls of this instance on the upstream after each recent change. */
-    private readonly recentCalls: { readonly at: number; readonly calls: number; }[] = [];
+    /** Number of in-flight calls of this instance after each recent change. */
+    private readonly inFlightHistory: { readonly at: number; readonly calls: number; }[] = [];
     private readonly leavingSources = new Set<LeavingSource>();
 
     constructor(
@@ -44,53 +44,57 @@
         this.lifecycle = createUpstreamLifecycle(() => onChange(this));
     }
 
-    /** Calls of this instance that are on the upstream now. */
+    /** Calls that this instance has in flight on the upstream. */
     get inFlight(): number {
         return this.calls;
     }
 
-    /** Notes that a call is sent to the upstream. */
+    /** Records that a call is being sent to the upstream. */
     onAssigned(): void {
-        this.setCalls(this.calls + 1);
+        this.setInFlight(this.calls + 1);
     }
 
-    /** Notes that a call has left the upstream. */
+    /** Records that a call has left the upstream. */
     onReleased(): void {
-        this.setCalls(this.calls - 1);
+        this.setInFlight(this.calls - 1);
     }
 
-    /** Whether the upstream may get a call now. */
-    mayServe(now: number): boolean {
-        if (this.lifecycle.state === "broken" && now >= this.brokenUntil) {
+    /** Whether a call may be sent to the upstream; starts probing once the backoff has ended. */
+    canAcceptCall(now: number): boolean {
+        if (this.lifecycle.state === "broken" && now >= this.backoffUntil) {
             this.lifecycle.send("probe");
         }
         return this.lifecycle.state === "live" || (this.lifecycle.state === "probing" && this.inFlight === 0);
     }
 
-    /** Notes a call that was answered. */
+    /** Records a successful call, which closes the circuit. */
     onSuccess(): void {
         this.failures = 0;
-        this.brokenMs = minBrokenMs;
+        this.backoffMs = minBackoffMs;
         this.lifecycle.send("succeed");
     }
 
-    /** Notes a call that failed; `refused` if nothing listens there. */
+    /**
+     * Records a failed call, which may open the circuit.
+     *
+     * @param refused Whether the connection was refused; this opens the circuit at once.
+     */
     onFailure(refused: boolean, now: number): void {
         this.failures += 1;
         if (refused || this.failures >= failuresToTrip || this.lifecycle.state === "probing") {
-            this.brokenUntil = now + this.brokenMs;
-            this.brokenMs = Math.min(maxBrokenMs, this.brokenMs * 2);
+            this.backoffUntil = now + this.backoffMs;
+            this.backoffMs = Math.min(maxBackoffMs, this.backoffMs * 2);
             this.lifecycle.send("trip");
         }
     }
 
-    /** Notes how long a call took relative to what was expected. */
-    onObserved(ratio: number): void {
-        this.slowdown += slownessRate * (Math.min(maxSlowdown, ratio) - this.slowdown);
+    /** Records the latency of a call, relative to the expected latency. */
+    onLatencyObserved(ratio: number): void {
+        this.slowdown += slowdownSmoothing * (Math.min(maxSlowdown, ratio) - this.slowdown);
         this.slowdown = Math.max(1, this.slowdown);
     }
 
-    /** Notes what a source says about leaving; returns whether that changed anything. */
+    /** Records whether the upstream is leaving according to a source; returns whether this is a change. */
     setLeaving(source: LeavingSource, leaving: boolean): boolean {
         if (this.leavingSources.has(source) === leaving) {
             return false;
@@ -105,26 +109,26 @@
         return true;
     }
 
-    /** Takes a load report unless a newer one is known. */
-    onLoad(load: WorkerLoad, now: number): void {
+    /** Records a load report unless a newer one is known. */
+    onLoadReport(load: WorkerLoad, now: number): void {
         const at = now - load.ageMs;
         if (this.reported === undefined || at > this.reported.at) {
-            this.reported = { load, at, ownInFlight: this.callsAt(at) };
+            this.reported = { load, at, localInFlight: this.inFlightAt(at) };
         }
     }
 
-    private setCalls(calls: number): void {
+    private setInFlight(calls: number): void {
         this.calls = calls;
-        this.recentCalls.push({ at: Date.now(), calls });
-        const horizon = Date.now() - callHistoryMs;
-        while (this.recentCalls.length > 1 && this.recentCalls[1]!.at <= horizon) {
-            this.recentCalls.shift();
+        this.inFlightHistory.push({ at: Date.now(), calls });
+        const cutoff = Date.now() - callHistoryMs;
+        while (this.inFlightHistory.length > 1 && this.inFlightHistory[1]!.at <= cutoff) {
+            this.inFlightHistory.shift();
         }
     }
 
-    /** Calls of this instance that were on the upstream at a recent time. */
-    private callsAt(at: number): number {
-        const known = this.recentCalls.findLast(change => change.at <= at);
-        return known?.calls ?? 0;
+    /** Calls that this instance had in flight on the upstream at a recent time. */
+    private inFlightAt(at: number): number {
+        const latest = this.inFlightHistory.findLast(change => change.at <= at);
+        return latest?.calls ?? 0;
     }
 }
--- a/packages/daemon/src/controllers/upstreams.ts
+++ b/packages/daemon/src/controllers/upstreams.ts
@@ -1,4 +1,4 @@
-/** All upstreams of the bundle: their circuits, loads, models, and whether they are leaving. */
+/** Registry of the upstreams that the bundle names: circuit state, load, models, and whether each one is leaving. */
 import { asError, parseAddress, Progress, rendezvous } from "@marigolddrift/common";
 import type { Bundle, Logger, Pool } from "@marigolddrift/common";
 
@@ -13,25 +13,25 @@
 import type { Membership } from "./membership.js";
 import { Upstream } from "./upstream.js";
 
-const loadTimeoutMs = 900;
+const loadReportTimeoutMs = 900;
 
-/** What the upstreams need from the rest of the daemon. */
+/** Settings and callbacks of {@link Upstreams}. */
 export interface UpstreamsOptions {
     readonly loadPollMs: number;
     bundle(): Bundle;
-    /** A worker reported that it evicted a program's prefix. */
+    /** Called when a worker reports that it evicted a program's prefix. */
     onEvicted(worker: string, program: string): void;
 }
 
-/** Upstreams by address. */
+/** Tracks upstreams by address, and polls the workers assigned to this instance. */
 export class Upstreams {
     private readonly upstreams = new Map<string, Upstream>();
-    private readonly fresh = new Map<string, WorkerLoad>();
-    private readonly eventsSeen = new Map<string, number>();
+    private readonly latestLoads = new Map<string, WorkerLoad>();
+    private readonly lastEventSeq = new Map<string, number>();
     private timer: NodeJS.Timeout | undefined;
 
     constructor(
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly membership: Membership,
         private readonly engines: EngineClient,
         private readonly options: UpstreamsOptions,
@@ -39,7 +39,7 @@
     ) {}
 
     start(): void {
-        this.timer = setInterval(() => this.poll(), this.options.loadPollMs);
+        this.timer = setInterval(() => this.pollWorkers(), this.options.loadPollMs);
     }
 
     stop(): void {
@@ -54,24 +54,24 @@
         return this.upstreams.get(address);
     }
 
-    /** Takes the upstreams of a bundle; those that it no longer names are forgotten. */
+    /** Adds the upstreams of a bundle, and removes those that the bundle no longer names. */
     onBundle(bundle: Bundle): void {
-        const named = new Map<string, string>();
+        const zoneByAddress = new Map<string, string>();
         const pools = Object.values(bundle.pool).flatMap(pool => pool.workers);
         const services = Object.values(bundle.service).flatMap(service => service.upstreams);
         for (const text of [...pools, ...services]) {
             const { zone, address } = parseAddress(text);
-            named.set(address, zone);
+            zoneByAddress.set(address, zone);
             if (!this.upstreams.has(address)) {
                 this.upstreams.set(address, new Upstream(address, zone, upstream => this.onChange(upstream)));
             }
         }
-        [...this.upstreams.keys()].filter(address => !named.has(address)).forEach(address =>
+        [...this.upstreams.keys()].filter(address => !zoneByAddress.has(address)).forEach(address =>
             this.upstreams.delete(address)
         );
     }
 
-    /** Engines that serve a model. */
+    /** Engines whose pool lists a model, without those whose last load report shows that it is not loaded. */
     workersFor(model: string): Upstream[] {
         const pools = Object.values(this.options.bundle().pool).filter(pool => pool.models.includes(model));
         const addresses = pools.flatMap(pool => pool.workers.map(text => parseAddress(text).address));
@@ -80,21 +80,21 @@
     }
 
     /** Upstreams of a service. */
-    forService(name: string): Upstream[] {
+    upstreamsFor(name: string): Upstream[] {
         const addresses = this.options.bundle().service[name]?.upstreams ?? [];
         return addresses.map(text => this.upstreams.get(parseAddress(text).address)).filter(upstream =>
             upstream !== undefined
         );
     }
 
-    /** Cost model of a worker, from its pool. */
+    /** Cost model of a worker's pool; the default model if no pool contains the worker. */
     costOf(worker: string): CostModel {
         const pools = Object.values(this.options.bundle().pool);
         const pool = pools.find(candidate => candidate.workers.some(text => parseAddress(text).address === worker));
-        return pool === undefined ? defaultCostModel : poolCost(pool);
+        return pool === undefined ? defaultCostModel : poolCostModel(pool);
     }
 
-    /** Calls that one worker runs at a time. */
+    /** Concurrency limit of one worker that serves a model; 0 if no pool serves it. */
     batchOf(model: string): number {
         const pools = Object.values(this.options.bundle().pool).filter(pool => pool.models.includes(model));
         return Math.max(0, ...pools.map(pool => pool.maxInFlightPerWorker));
@@ -104,67 +104,70 @@
         return this.options.bundle().zone[zone]?.region ?? "";
     }
 
-    /** Notes what a source says about leaving, and tells the peers what is new. */
-    note(notices: readonly UpstreamNotice[]): void {
-        const news = notices.filter(({ address, leaving, source }) =>
+    /** Records notices from this instance's own sources, and broadcasts those that change a state to the peers. */
+    publishNotices(notices: readonly UpstreamNotice[]): void {
+        const changed = notices.filter(({ address, leaving, source }) =>
             this.upstreams.get(address)?.setLeaving(source, leaving)
         );
-        if (news.length > 0) {
-            this.log.info("upstreams leaving", { news });
-            this.membership.broadcast({ type: "upstreams", states: news });
+        if (changed.length > 0) {
+            this.log.info("leaving state of upstreams changed", { news: changed });
+            this.membership.broadcast({ type: "upstreams", states: changed });
         }
     }
 
-    /** Takes what peers found. */
-    onNotices(notices: readonly UpstreamNotice[]): void {
+    /** Records notices from peers; they are not broadcast again. */
+    onPeerNotices(notices: readonly UpstreamNotice[]): void {
         notices.forEach(({ address, leaving, source }) => this.upstreams.get(address)?.setLeaving(source, leaving));
     }
 
-    onListed(instances: readonly ListedInstance[]): void {
-        this.note(
+    onInstanceList(instances: readonly ListedInstance[]): void {
+        this.publishNotices(
             instances.filter(entry => entry.kind === "upstream")
                 .map(({ address, state }) => ({ address, leaving: state === "leaving", source: "list" })),
         );
     }
 
-    /** Takes the loads that a peer read. */
-    onLoads(loads: readonly WorkerLoad[]): void {
+    /** Records the worker loads that a peer polled. */
+    onPeerLoads(loads: readonly WorkerLoad[]): void {
         const now = Date.now();
-        loads.forEach(load => this.upstreams.get(load.worker)?.onLoad(load, now));
+        loads.forEach(load => this.upstreams.get(load.worker)?.onLoadReport(load, now));
     }
 
-    /** Loads that this instance read since the last heartbeat round. */
-    ownLoads(): WorkerLoad[] {
-        return [...this.fresh.values()];
+    /** Worker loads that this instance has read since its current poll began. */
+    polledLoads(): WorkerLoad[] {
+        return [...this.latestLoads.values()];
     }
 
-    /** Workers that this instance polls, on behalf of its region. */
-    private responsibleFor(): Upstream[] {
+    /**
+     * Workers of this region that this instance polls. Rendezvous hashing assigns each worker to an instance of the
+     * worker's zone, or of the region if that zone has no instance.
+     */
+    private assignedWorkers(): Upstream[] {
         const workers = Object.values(this.options.bundle().pool).flatMap(pool => pool.workers.map(parseAddress));
-        const region = this.membership.members().filter(member => member.region === this.self.region);
-        const own = instanceName(this.self.instance);
-        const mine = workers.filter(({ zone, address }) => {
-            const near = region.filter(member => member.zone === zone);
-            const pollers = (near.length > 0 ? near : region).map(member => instanceName(member.instance));
-            return this.regionOf(zone) === this.self.region && rendezvous(address, pollers)[0] === own;
+        const regionMembers = this.membership.members().filter(member => member.region === this.identity.region);
+        const localName = instanceName(this.identity.instance);
+        const assigned = workers.filter(({ zone, address }) => {
+            const near = regionMembers.filter(member => member.zone === zone);
+            const pollers = (near.length > 0 ? near : regionMembers).map(member => instanceName(member.instance));
+            return this.regionOf(zone) === this.identity.region && rendezvous(address, pollers)[0] === localName;
         });
-        return mine.map(({ address }) => this.upstreams.get(address)).filter(upstream => upstream !== undefined);
+        return assigned.map(({ address }) => this.upstreams.get(address)).filter(upstream => upstream !== undefined);
     }
 
-    /** Workers that this instance sweeps and orders on behalf of its region. */
-    ownWorkers(): string[] {
-        return this.responsibleFor().map(upstream => upstream.address);
+    /** Addresses of the workers that this instance polls and sweeps. */
+    assignedWorkerAddresses(): string[] {
+        return this.assignedWorkers().map(upstream => upstream.address);
     }
 
-    private poll(): void {
-        this.fresh.clear();
-        for (const upstream of this.responsibleFor()) {
-            void this.pollOne(upstream);
+    private pollWorkers(): void {
+        this.latestLoads.clear();
+        for (const upstream of this.assignedWorkers()) {
+            void this.pollWorker(upstream);
         }
     }
 
-    private async pollOne(upstream: Upstream): Promise<void> {
-        const progress = new Progress(loadTimeoutMs);
+    private async pollWorker(upstream: Upstream): Promise<void> {
+        const progress = new Progress(loadReportTimeoutMs);
         const worker = upstream.address;
         try {
             const report = await this.engines.load(worker, progress);
@@ -172,13 +175,13 @@
             const leaving = report.state === "leaving";
             const ageMs = Math.max(0, Date.now() - report.at);
             const load = { worker, running, waiting, heldTokens, memoryTokens, ageMs, leaving, models };
-            this.fresh.set(worker, load);
-            upstream.onLoad(load, Date.now());
-            this.note([{ address: worker, leaving, source: "report" }]);
+            this.latestLoads.set(worker, load);
+            upstream.onLoadReport(load, Date.now());
+            this.publishNotices([{ address: worker, leaving, source: "report" }]);
             await this.readEvents(worker, progress);
         }
         catch (err) {
-            this.log.debug("load not read", { worker, error: asError(err).message });
+            this.log.debug("worker load poll failed", { worker, error: asError(err).message });
         }
         finally {
             progress.dispose();
@@ -186,23 +189,23 @@
     }
 
     private async readEvents(worker: string, progress: Progress): Promise<void> {
-        const since = this.eventsSeen.get(worker) ?? 0;
+        const since = this.lastEventSeq.get(worker) ?? 0;
         const events = await this.engines.cacheEvents(worker, since, progress);
-        const last = events.at(-1)?.seq;
-        if (last !== undefined) {
-            this.eventsSeen.set(worker, last);
+        const lastSeq = events.at(-1)?.seq;
+        if (lastSeq !== undefined) {
+            this.lastEventSeq.set(worker, lastSeq);
         }
         const evicted = new Set(events.filter(event => event.kind === "evicted").map(event => event.key));
         evicted.forEach(program => this.options.onEvicted(worker, program));
     }
 
     private onChange(upstream: Upstream): void {
-        this.log.info("upstream state", { upstream: upstream.address, state: upstream.lifecycle.state });
+        this.log.info("upstream state changed", { upstream: upstream.address, state: upstream.lifecycle.state });
     }
 }
 
-/** Cost model of the engines of a pool. */
-export const poolCost = (pool: Pool): CostModel => ({
+/** Cost model of a pool's engines. */
+export const poolCostModel = (pool: Pool): CostModel => ({
     prefillMsPerToken: pool.prefillMsPerToken,
     decodeBaseMs: pool.decodeBaseMs,
     decodePerSequenceMs: pool.decodePerSequenceMs,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -8,13 +8,13 @@
 import type { InstanceList, Store } from "@marigolddrift/store";
 import { Agent } from "undici";
 
-import { Bundles } from "./controllers/bundles.js";
+import { BundleManager } from "./controllers/bundles.js";
 import { Drain } from "./controllers/drain.js";
 import { EngineMemory } from "./controllers/engineMemory.js";
 import { LinkBudget } from "./controllers/linkBudget.js";
 import { Membership } from "./controllers/membership.js";
 import type { Peer } from "./controllers/membership.js";
-import { PoolOrders } from "./controllers/poolOrders.js";
+import { PoolReconciler } from "./controllers/poolOrders.js";
 import { Programs } from "./controllers/programs.js";
 import { Slots } from "./controllers/slots.js";
 import { Sweeper } from "./controllers/sweeper.js";
@@ -53,7 +53,7 @@
     readonly identity: Identity;
     readonly log: Logger;
     readonly metrics: Metrics;
-    readonly bundles: Bundles;
+    readonly bundles: BundleManager;
     readonly membership: Membership;
     readonly slots: Slots;
     readonly programs: Programs;
@@ -62,7 +62,7 @@
     readonly dispatcher: Dispatcher;
     readonly owner: Owner;
     readonly router: Router;
-    readonly orders: PoolOrders;
+    readonly orders: PoolReconciler;
     readonly sweeper: Sweeper;
     readonly callers: CallerServer;
     readonly admin: AdminServer;
@@ -88,11 +88,11 @@
         const random = overrides.random ?? Math.random;
         const tls = cfg.tls === undefined ? undefined : new TlsFiles(cfg.tls);
         const onLeaving = (address: string): void =>
-            this.upstreams.note([{ address, leaving: true, source: "report" }]);
+            this.upstreams.publishNotices([{ address, leaving: true, source: "report" }]);
         this.engines = new EngineClient(this.agent, onLeaving);
         this.memory = new EngineMemory(this.engines, this.log, this.metrics, cfg.policy.placement === "expectedFinish");
         this.membership = this.createMembership(tls);
-        this.bundles = new Bundles(this.store, () => this.membership, {
+        this.bundles = new BundleManager(this.store, () => this.membership, {
             region,
             operators: cfg.operators,
             dataFolder: cfg.data?.folder,
@@ -107,7 +107,7 @@
         this.upstreams = new Upstreams(this.identity, this.membership, this.engines, {
             loadPollMs: cfg.timing.loadPollMs,
             bundle: () => this.bundle,
-            onEvicted: (worker, program) => this.memory.view.onDropped(program, worker),
+            onEvicted: (worker, program) => this.memory.cacheView.onDropped(program, worker),
         }, this.log);
         const pool = new WorkerPool(this.identity, this.upstreams, this.memory, this.link);
         this.dispatcher = new Dispatcher(pool, this.dispatcherOptions(random), this.log, this.metrics);
@@ -120,10 +120,10 @@
             this.log,
             this.metrics,
         );
-        this.sweeper = new Sweeper({ ...this.common(), self: this.identity });
-        this.orders = new PoolOrders({
+        this.sweeper = new Sweeper({ ...this.common(), identity: this.identity });
+        this.orders = new PoolReconciler({
             ...this.common(),
-            self: this.identity,
+            identity: this.identity,
             store: this.store,
             lease: this.slots.lease,
             pools: () => this.bundle.pool,
@@ -221,8 +221,8 @@
         return new Membership(this.identity, peer, tls, this.list, options, {
             onPeerUp: up =>
                 up.link.send({ type: "slots", version: this.slots.version, owned: this.slots.announcement() }),
-            onPeerDead: instance => this.slots.directory.forget(instance),
-            onListed: instances => this.upstreams.onListed(instances),
+            onPeerDead: instance => this.slots.directory.removeOwner(instance),
+            onInstanceList: instances => this.upstreams.onInstanceList(instances),
             onHeartbeat: (from, heartbeat) => this.onHeartbeat(from, heartbeat),
             heartbeat: to => this.heartbeat(to),
         }, this.log);
@@ -241,7 +241,7 @@
                     (this.bundles.current?.limits.outcomeRetentionSeconds ?? 0) * 1000 || defaultRetentionMs,
                 onOwned: () => {},
                 onReleased: slot => this.programs.dropSlot(slot),
-                beforeHandOver: record => this.programs.settle(record),
+                beforeHandOver: record => this.programs.finalizeRecord(record),
             },
             this.log,
             this.metrics,
@@ -268,7 +268,7 @@
     private createServiceClient(): ServiceClient {
         return new ServiceClient(
             this.agent,
-            address => this.upstreams.note([{ address, leaving: true, source: "report" }]),
+            address => this.upstreams.publishNotices([{ address, leaving: true, source: "report" }]),
         );
     }
 
@@ -280,7 +280,7 @@
     }
 
     private onProgramEnded(program: string, pauseKind: string): void {
-        this.memory.pauses.onEnd(pauseKind);
+        this.memory.pauseModel.onEnd(pauseKind);
         this.memory.onEnded(program);
     }
 
@@ -290,13 +290,13 @@
             leaving: this.membership.leaving,
             bundle: this.bundles.version,
             slotsVersion: this.slots.version,
-            periodMs: this.membership.periodOf(to),
-            loads: to.region === this.identity.region ? this.upstreams.ownLoads() : [],
+            periodMs: this.membership.heartbeatPeriodMs(to),
+            loads: to.region === this.identity.region ? this.upstreams.polledLoads() : [],
         };
     }
 
     private onHeartbeat(from: Peer, heartbeat: Heartbeat): void {
-        this.upstreams.onLoads(heartbeat.loads);
+        this.upstreams.onPeerLoads(heartbeat.loads);
         void this.bundles.onPeerVersion(from);
     }
 
@@ -305,8 +305,8 @@
             onHello: hello => this.membership.onHello(hello),
             onClosed: hello => this.membership.onClosed(hello),
             onHeartbeat: (hello, heartbeat) => this.membership.onHeartbeat(hello, heartbeat),
-            onSlots: (hello, _, owned) => this.slots.onAnnounced(hello.instance, owned),
-            onUpstreams: notices => this.upstreams.onNotices(notices),
+            onSlots: (hello, _, owned) => this.slots.onPeerAnnouncement(hello.instance, owned),
+            onUpstreams: notices => this.upstreams.onPeerNotices(notices),
             answer: (req, progress) => this.owner.answer(req, progress),
             onAsk: (ask, progress) => this.onAsk(ask, progress),
         };
@@ -316,6 +316,6 @@
         if (ask.kind === "handOver") {
             return await this.slots.handOver(ask.slot, progress);
         }
-        return ask.kind === "bundle" ? this.bundles.forPeers : this.sweeper.endedOf(ask.programs);
+        return ask.kind === "bundle" ? this.bundles.carriedBundle : this.sweeper.selectReleasable(ask.programs);
     }
 }
--- a/packages/daemon/src/filters/budgetHold.ts
+++ b/packages/daemon/src/filters/budgetHold.ts
@@ -29,7 +29,7 @@
     let decision = hold(program.account, worstCase, firstChunk);
     while (decision.kind === "reserveFirst") {
         if (!slotHold.durable) {
-            throw Slots.notDurable("The next part of the budget cannot be reserved while the store is away.");
+            throw Slots.notDurableError("The next part of the budget cannot be reserved while the store is away.");
         }
         const { reserved } = decision;
         await race(
--- a/packages/daemon/src/filters/chains.ts
+++ b/packages/daemon/src/filters/chains.ts
@@ -85,7 +85,7 @@
         new ServiceDispatchFilter({
             ...parts,
             service: name => parts.bundle().service[name],
-            recheck: ctx => parts.slots.recheck(ctx.hold.slot, ctx.progress),
+            recheck: ctx => parts.slots.verifyOwned(ctx.hold.slot, ctx.progress),
         }),
     ];
 };
--- a/packages/daemon/src/filters/chatDispatchFilter.ts
+++ b/packages/daemon/src/filters/chatDispatchFilter.ts
@@ -9,7 +9,7 @@
 import type { EngineMemory } from "../controllers/engineMemory.js";
 import type { Slots } from "../controllers/slots.js";
 import type { Upstreams } from "../controllers/upstreams.js";
-import { sizeOf } from "../programs/programHistory.js";
+import { encodedBytes } from "../programs/programHistory.js";
 import type { EngineClient, EngineEvent } from "../upstreams/engineClient.js";
 import { UpstreamError } from "../upstreams/upstreamError.js";
 import { holdBudget } from "./budgetHold.js";
@@ -117,7 +117,7 @@
                 ctx.lifecycle.send("queue");
             }
             lease = await this.acquire(ctx, promptBound, excluded);
-            await this.parts.slots.recheck(ctx.hold.slot, progress);
+            await this.parts.slots.verifyOwned(ctx.hold.slot, progress);
             ctx.lifecycle.send("dispatch");
             sent = true;
             const finished = await this.stream(ctx, lease, delivered, maxTokens, promptBound);
@@ -139,13 +139,13 @@
         const { program } = ctx;
         const known = program.historyTokens > 0 && ctx.fresh.length < ctx.all.length;
         const unknown = known ? ctx.fresh : ctx.all;
-        return (known ? program.historyTokens : 0) + sizeOf(unknown) + unknown.length * templateTokensPerMessage;
+        return (known ? program.historyTokens : 0) + encodedBytes(unknown) + unknown.length * templateTokensPerMessage;
     }
 
     private acquire(ctx: ChatContext, promptBound: number, excluded: ReadonlySet<string>): Promise<DispatchLease> {
         const { program, req, progress } = ctx;
-        const bytes = sizeOf(ctx.all);
-        const promptTokens = Math.min(promptBound, program.historyTokens + Math.ceil(sizeOf(ctx.fresh) / 4));
+        const bytes = encodedBytes(ctx.all);
+        const promptTokens = Math.min(promptBound, program.historyTokens + Math.ceil(encodedBytes(ctx.fresh) / 4));
         const expectedTokens = Math.min(req.maxTokens, program.meanAnswerTokens || defaultAnswerTokens);
         return this.parts.dispatcher.acquire({
             program: program.id,
@@ -200,8 +200,8 @@
         let reason = "stop";
         try {
             for await (const event of answer) {
-                if (!slots.isProven(ctx.hold.slot)) {
-                    await slots.recheck(ctx.hold.slot, progress);
+                if (!slots.isProvablyOwned(ctx.hold.slot)) {
+                    await slots.verifyOwned(ctx.hold.slot, progress);
                 }
                 if (event.kind === "delta") {
                     this.deliver(ctx, delivered, event);
@@ -222,7 +222,7 @@
         program.attainedMs += ms;
         this.parts.dispatcher.onServed(program.agent.model, ms);
         const expected = score.expectedMs || 1;
-        upstream?.onObserved(ms / expected);
+        upstream?.onLatencyObserved(ms / expected);
         return {
             reason,
             worker,
@@ -265,7 +265,7 @@
         const { program, req } = ctx;
         const { memory, upstreams } = this.parts;
         const now = Date.now();
-        memory.view.onCached(program.id, worker, program.historyTokens, now);
+        memory.cacheView.onCached(program.id, worker, program.historyTokens, now);
         program.lastCallEndedAt = now;
         program.pauseKind = `${program.claims.agent}/${req.nextTool ?? ""}`;
         const load = upstreams.get(worker)?.reported?.load;
--- a/packages/daemon/src/filters/intentFilter.ts
+++ b/packages/daemon/src/filters/intentFilter.ts
@@ -44,7 +44,7 @@
             return;
         }
         if (!ctx.hold.durable) {
-            throw Slots.notDurable("A call that must not be repeated cannot be recorded while the store is away.");
+            throw Slots.notDurableError("A call that must not be repeated cannot be recorded while the store is away.");
         }
         await this.store(ctx, key, request);
         try {
@@ -102,7 +102,7 @@
         }
         catch (err) {
             if (ctx.progress.signal.aborted) {
-                throw Slots.notDurable("The intent was not stored before the deadline; the call was not sent.");
+                throw Slots.notDurableError("The intent was not stored before the deadline; the call was not sent.");
             }
             throw err;
         }
--- a/packages/daemon/src/filters/serviceDispatchFilter.ts
+++ b/packages/daemon/src/filters/serviceDispatchFilter.ts
@@ -54,8 +54,8 @@
         const distance = (upstream: Upstream): number =>
             upstream.zone === zone ? 0 : upstreams.regionOf(upstream.zone) === region ? 1 : 2;
         const now = Date.now();
-        const usable = upstreams.forService(ctx.req.service).filter(upstream =>
-            !excluded.has(upstream) && upstream.mayServe(now)
+        const usable = upstreams.upstreamsFor(ctx.req.service).filter(upstream =>
+            !excluded.has(upstream) && upstream.canAcceptCall(now)
         );
         const [best] = usable.sort((a, b) => distance(a) - distance(b) || a.inFlight - b.inFlight);
         if (best === undefined) {
--- a/packages/daemon/src/http/adminActions.ts
+++ b/packages/daemon/src/http/adminActions.ts
@@ -18,7 +18,7 @@
     ready: daemon.isReady,
     leaving: daemon.membership.leaving,
     bundle: daemon.bundles.version,
-    leaseProven: daemon.slots.lease.isProven(),
+    leaseProven: daemon.slots.lease.isValid(),
     slots: daemon.slots.all().length,
     programs: daemon.programs.size,
     calls: daemon.owner.active,
@@ -88,7 +88,7 @@
         },
         "upstreams/drain": body => {
             const { address, leaving } = upstreamOrderSchema.parse(body);
-            daemon.upstreams.note([{ address, leaving, source: "operator" }]);
+            daemon.upstreams.publishNotices([{ address, leaving, source: "operator" }]);
             return { address, leaving, known: daemon.upstreams.get(address) !== undefined };
         },
         "programs/cancel": body => {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -6,7 +6,7 @@
 export * from "./controllers/groupCommit.js";
 export * from "./controllers/leaseKeeper.js";
 export * from "./controllers/linkBudget.js";
-export { stretchFor } from "./controllers/membership.js";
+export { heartbeatPeriodMultiplier as stretchFor } from "./controllers/membership.js";
 export type { Member, Membership } from "./controllers/membership.js";
 export * from "./controllers/ownedSlot.js";
 export * from "./controllers/poolOrders.js";
--- a/packages/daemon/src/lifecycles/instanceLifecycle.ts
+++ b/packages/daemon/src/lifecycles/instanceLifecycle.ts
@@ -1,4 +1,4 @@
-/** Lifecycle of a peer instance, as this instance sees it. */
+/** Lifecycle of a peer instance, as observed by this instance. */
 import { createMachine, state, transition } from "robot3";
 
 import { Lifecycle } from "./lifecycle.js";
@@ -16,6 +16,6 @@
 
 export type InstanceLifecycle = Lifecycle<InstanceState, InstanceEvent>;
 
-/** Starts the lifecycle of an instance. */
+/** Creates the state machine of a peer instance. */
 export const createInstanceLifecycle = (onChange: (state: InstanceState) => void): InstanceLifecycle =>
     new Lifecycle(machine, onChange);
--- a/packages/daemon/src/lifecycles/lifecycle.ts
+++ b/packages/daemon/src/lifecycles/lifecycle.ts
@@ -1,8 +1,8 @@
-/** Runs robot3 machines. */
+/** Typed wrapper around robot3 state machines. */
 import { interpret } from "robot3";
 import type { Machine, Service } from "robot3";
 
-/** One running machine, for example the lifecycle of one request. */
+/** A running state machine, for example for one request. */
 export class Lifecycle<S extends string, E extends string> {
     private readonly service: Service<Machine>;
 
@@ -14,7 +14,7 @@
         return this.service.machine.current as S;
     }
 
-    /** Sends an event; an event that the state does not expect changes nothing. */
+    /** Sends an event; events without a transition from the current state are ignored. */
     send(event: E): void {
         this.service.send({ type: event as never });
     }
--- a/packages/daemon/src/lifecycles/programLifecycle.ts
+++ b/packages/daemon/src/lifecycles/programLifecycle.ts
@@ -1,4 +1,4 @@
-/** Lifecycle of a program at its owner. */
+/** Lifecycle of a program on the instance that owns its slot. */
 import { createMachine, state, transition } from "robot3";
 
 import { Lifecycle } from "./lifecycle.js";
@@ -15,5 +15,5 @@
 
 export type ProgramLifecycle = Lifecycle<ProgramLifecycleState, ProgramEvent>;
 
-/** Starts the lifecycle of a program. */
+/** Creates the state machine of a program. */
 export const createProgramLifecycle = (): ProgramLifecycle => new Lifecycle(machine);
--- a/packages/daemon/src/lifecycles/requestLifecycle.ts
+++ b/packages/daemon/src/lifecycles/requestLifecycle.ts
@@ -1,4 +1,4 @@
-/** Lifecycle of one request at its owner; the verdict of a failure follows from the state it was in. */
+/** Lifecycle of a request on the instance that owns its slot; the state at a failure determines the verdict. */
 import type { Verdict } from "@marigolddrift/common";
 import { createMachine, state, transition } from "robot3";
 
@@ -17,7 +17,7 @@
     dispatched: state(
         transition("answer", "answering"),
         transition("finish", "done"),
-        // The upstream proved that it did not take the request.
+        // The upstream proved that it did not execute the request.
         transition("retract", "queued"),
         transition("fail", "failed"),
     ),
@@ -29,7 +29,7 @@
 
 export type RequestLifecycle = Lifecycle<RequestState, RequestEvent>;
 
-/** Starts the lifecycle of a request. */
+/** Creates the state machine of a request. */
 export const createRequestLifecycle = (): RequestLifecycle => new Lifecycle(machine);
 
 const verdicts: Record<RequestState, Verdict> = {
@@ -42,5 +42,5 @@
     done: "ran",
 };
 
-/** What can be said of a request in a state. */
+/** Whether a request in its current state has run, has not run, or may have run. */
 export const verdictOf = (lifecycle: RequestLifecycle): Verdict => verdicts[lifecycle.state];
--- a/packages/daemon/src/lifecycles/upstreamLifecycle.ts
+++ b/packages/daemon/src/lifecycles/upstreamLifecycle.ts
@@ -1,13 +1,13 @@
-/** Lifecycle of an upstream: its circuit, and whether it is leaving. */
+/** Lifecycle of an upstream: its circuit breaker, and whether it is leaving. */
 import { createMachine, state, transition } from "robot3";
 
 import { Lifecycle } from "./lifecycle.js";
 
 /**
- * - `live`: gets work.
- * - `broken`: failed repeatedly and gets none for a while.
- * - `probing`: gets one call, which decides.
- * - `leaving`: finishes its work and gets no more.
+ * - `live`: receives calls (closed circuit).
+ * - `broken`: receives no calls until a backoff has ended, after failures (open circuit).
+ * - `probing`: receives one call, whose result closes or reopens the circuit (half-open).
+ * - `leaving`: completes its calls and receives no new ones.
  */
 export type UpstreamState = "live" | "broken" | "probing" | "leaving";
 export type UpstreamEvent = "trip" | "probe" | "succeed" | "leave" | "return";
@@ -21,6 +21,6 @@
 
 export type UpstreamLifecycle = Lifecycle<UpstreamState, UpstreamEvent>;
 
-/** Starts the lifecycle of an upstream. */
+/** Creates the state machine of an upstream. */
 export const createUpstreamLifecycle = (onChange: (state: UpstreamState) => void): UpstreamLifecycle =>
     new Lifecycle(machine, onChange);
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -62,7 +62,7 @@
     }
 
     private async open(req: OpenRequest): Promise<unknown> {
-        const slot = await this.parts.slots.openableSlot(this.parts.random);
+        const slot = await this.parts.slots.pickOpenSlot(this.parts.random);
         if (slot === undefined) {
             throw new NotOwnerError(-1);
         }
@@ -116,9 +116,9 @@
         const hold = await this.parts.slots.enter(claims.slot, progress);
         try {
             const program = this.usableProgram(req.program, hold);
-            const call = req.call ?? program.sequencer.assign();
+            const call = req.call ?? program.sequencer.assignNumber();
             const request = digest("chat", JSON.stringify([req.messages, req.extends ?? ""]));
-            const joined = this.join(program.answerOf(call), request);
+            const joined = this.join(program.storedAnswer(call), request);
             if (joined !== undefined) {
                 hold.leave();
                 return joined;
@@ -145,11 +145,14 @@
         const hold = await this.parts.slots.enter(req.slot, progress);
         try {
             const program = req.program === undefined ? undefined : this.usableProgram(req.program, hold);
-            const call = program === undefined ? 0 : req.call ?? program.sequencer.assign();
+            const call = program === undefined ? 0 : req.call ?? program.sequencer.assignNumber();
             const request = requestDigest(req);
             const key = req.key === undefined ? undefined : digest(req.workspace, req.service, req.key);
             const known = key === undefined ? undefined : this.serviceCalls.get(key);
-            const joined = this.join(known ?? (req.call === undefined ? undefined : program?.answerOf(call)), request);
+            const joined = this.join(
+                known ?? (req.call === undefined ? undefined : program?.storedAnswer(call)),
+                request,
+            );
             if (joined !== undefined) {
                 hold.leave();
                 return joined;
@@ -204,7 +207,7 @@
 
     private noteReturn(program: ProgramState): void {
         if (program.lastCallEndedAt > 0) {
-            this.parts.memory.pauses.onReturn(program.pauseKind, Date.now() - program.lastCallEndedAt);
+            this.parts.memory.pauseModel.onReturn(program.pauseKind, Date.now() - program.lastCallEndedAt);
         }
     }
 
@@ -215,7 +218,7 @@
         filters: readonly Filter<C>[],
         onEnd = (): unknown => undefined,
     ): void {
-        ctx.program?.keepAnswer(entry);
+        ctx.program?.storeAnswer(entry);
         this.watchReaders(ctx);
         this.active += 1;
         void runChain(filters, ctx)
@@ -249,7 +252,7 @@
     private onError(ctx: OwnerContext, entry: CallEntry, err: unknown): void {
         const verdict = verdictOf(ctx.lifecycle);
         ctx.lifecycle.send(verdict === "notRun" ? "refuse" : "fail");
-        ctx.program?.forgetAnswer(entry);
+        ctx.program?.removeAnswer(entry);
         if (err instanceof NotOwnerError) {
             const problem = new ProblemError(
                 "owner_unreachable",
--- a/packages/daemon/src/programs/callSequencer.ts
+++ b/packages/daemon/src/programs/callSequencer.ts
@@ -1,48 +1,48 @@
-/** Lets the calls of one program run one at a time, in the order of their numbers. */
+/** Serializes the calls of one program in the order of their numbers. */
 import { ProblemError } from "@marigolddrift/common";
 import type { Progress } from "@marigolddrift/common";
 
-/** After a change of owner, calls that arrive within this time run in order; in milliseconds. */
-const inheritGraceMs = 300;
+/** After an ownership change, the first call waits this long, so that calls with lower numbers can still arrive. */
+const takeoverGraceMs = 300;
 
-/** Orders the calls of one program. */
+/** Runs the calls of one program one at a time, in order. */
 export class CallSequencer {
     private running: number | undefined;
     private readonly waiting = new Map<number, () => void>();
     private readonly arrived = new Set<number>();
 
-    /** @param next Number of the next call; undefined if a former owner ran some that are not known. */
-    constructor(private next: number | undefined) {}
+    /** @param expectedCall Number of the next call; undefined if a previous owner may have run unknown ones. */
+    constructor(private expectedCall: number | undefined) {}
 
-    /** Number that an unnumbered call gets. */
-    assign(): number {
-        const taken = [...this.arrived, this.running ?? 0];
-        return Math.max(this.next ?? 1, ...taken.map(call => call + 1));
+    /** Number for a call that was sent without one. */
+    assignNumber(): number {
+        const numbers = [...this.arrived, this.running ?? 0];
+        return Math.max(this.expectedCall ?? 1, ...numbers.map(call => call + 1));
     }
 
-    /** Number of the next call, if it is known. */
+    /** Number of the next call; undefined if it is not known yet. */
     get nextCall(): number | undefined {
-        return this.next;
+        return this.expectedCall;
     }
 
     /**
-     * Waits for the turn of a call.
+     * Waits until all earlier calls have run.
      *
-     * @throws ProblemError `call_superseded` if a later call already ran.
+     * @throws ProblemError `call_superseded` if this call or a later one has already run.
      */
     async enter(call: number, progress: Progress): Promise<void> {
         this.arrived.add(call);
         try {
-            if (this.next === undefined) {
-                await progress.sleep(inheritGraceMs);
-                this.next ??= Math.min(...this.arrived);
+            if (this.expectedCall === undefined) {
+                await progress.sleep(takeoverGraceMs);
+                this.expectedCall ??= Math.min(...this.arrived);
             }
-            while (call !== this.next || this.running !== undefined) {
-                if (call < this.next) {
+            while (call !== this.expectedCall || this.running !== undefined) {
+                if (call < this.expectedCall) {
                     throw new ProblemError(
                         "call_superseded",
                         "notRun",
-                        `Call ${call} comes after call ${this.next - 1} ran.`,
+                        `Call ${call} arrived after call ${this.expectedCall - 1} had run.`,
                     );
                 }
                 await progress.race(new Promise<void>(resolve => this.waiting.set(call, resolve)));
@@ -56,14 +56,14 @@
     }
 
     /**
-     * Ends the turn of a call.
+     * Marks a call as finished, and wakes the waiting calls.
      *
-     * @param advance Whether the next call may run; false if this one may be sent again.
+     * @param advance Whether the next call may run; false if this call may be retried.
      */
     leave(call: number, advance: boolean): void {
         this.running = undefined;
         if (advance) {
-            this.next = call + 1;
+            this.expectedCall = call + 1;
         }
         [...this.waiting.values()].forEach(wake => wake());
     }
--- a/packages/daemon/src/programs/programHistory.ts
+++ b/packages/daemon/src/programs/programHistory.ts
@@ -1,24 +1,24 @@
-/** The history of one program: never lost, and never mixed with another's. */
+/** The message history of one program; a hash chain seeded with the program id detects lost or foreign messages. */
 import { emptyHistory, extendHistory, historyChain, ProblemError } from "@marigolddrift/common";
 import type { Message } from "@marigolddrift/common";
 
-/** What the owner knows of a program's history. */
+/** State of a program's history on the instance that owns its slot. */
 export class ProgramHistory {
     private length = 0;
     private newest: string;
-    /** Messages, kept so that callers can send only what is new. */
+    /** The messages, held so that callers can send only new ones; undefined if they are not held. */
     private messages: Message[] | undefined = [];
     private bytes = 0;
     private known: boolean;
 
-    /** @param inherited Whether a former owner may have added messages that are not known here. */
+    /** @param inherited Whether a previous owner may have added messages that are not known here. */
     constructor(private readonly programId: string, inherited: boolean) {
         this.newest = emptyHistory(programId);
         this.known = !inherited;
     }
 
-    /** A history that a former owner handed over: its digest and length are known, its messages are not held. */
-    static handedOver(programId: string, digest: string, length: number): ProgramHistory {
+    /** Creates the history that a previous owner handed over: its digest and length are known, but not its messages. */
+    static fromHandOver(programId: string, digest: string, length: number): ProgramHistory {
         const history = new ProgramHistory(programId, false);
         history.newest = digest;
         history.length = length;
@@ -26,7 +26,7 @@
         return history;
     }
 
-    /** Number of messages in the history; undefined if a former owner may have added some. */
+    /** Number of messages in the history; undefined if a previous owner may have added unknown ones. */
     get knownLength(): number | undefined {
         return this.known ? this.length : undefined;
     }
@@ -36,15 +36,15 @@
         return this.newest;
     }
 
-    /** Bytes of the messages that are held. */
+    /** Size of the messages that are held in memory. */
     get heldBytes(): number {
         return this.messages === undefined ? 0 : this.bytes;
     }
 
     /**
-     * Checks that messages extend the history, and returns the whole conversation.
+     * Verifies that messages extend the history; returns the whole conversation and the messages that are new.
      *
-     * @param extend Digest that the messages extend; undefined if they are the whole conversation.
+     * @param extend Digest of the history that the messages extend; undefined if they are the whole conversation.
      * @throws ProblemError `history_mismatch` or `send_in_full`.
      */
     resolve(
@@ -52,7 +52,7 @@
         extend: string | undefined,
     ): { all: readonly Message[]; fresh: readonly Message[]; } {
         if (extend === undefined) {
-            return this.resolveWhole(messages);
+            return this.resolveFull(messages);
         }
         if (!this.known || this.messages === undefined) {
             throw new ProblemError("send_in_full", "notRun", "The earlier messages are not held by this instance.");
@@ -67,29 +67,29 @@
         return { all: [...this.messages, ...messages], fresh: messages };
     }
 
-    /** Adds messages after a call has succeeded. */
+    /** Appends the messages and the answer of a successful call. */
     commit(all: readonly Message[], fresh: readonly Message[], answer: Message): void {
         if (!this.known) {
             this.newest = extendHistory(emptyHistory(this.programId), all);
-            this.bytes = sizeOf(all);
+            this.bytes = encodedBytes(all);
         }
         else {
             this.newest = extendHistory(this.newest, fresh);
-            this.bytes += sizeOf(fresh);
+            this.bytes += encodedBytes(fresh);
         }
         this.known = true;
         this.newest = extendHistory(this.newest, [answer]);
-        this.bytes += sizeOf([answer]);
+        this.bytes += encodedBytes([answer]);
         this.messages = [...all, answer];
         this.length = this.messages.length;
     }
 
-    /** Frees the messages; callers must then send the whole conversation. */
+    /** Frees the messages; callers must send the whole conversation afterwards. */
     dropMessages(): void {
         this.messages = undefined;
     }
 
-    private resolveWhole(messages: readonly Message[]): { all: readonly Message[]; fresh: readonly Message[]; } {
+    private resolveFull(messages: readonly Message[]): { all: readonly Message[]; fresh: readonly Message[]; } {
         if (!this.known) {
             return { all: messages, fresh: messages };
         }
@@ -97,7 +97,7 @@
             throw new ProblemError(
                 "history_mismatch",
                 "notRun",
-                `The history has ${this.length} messages; add to them.`,
+                `The history has ${this.length} messages; the request must contain all of them and add new ones.`,
             );
         }
         const digest = historyChain(this.programId, messages.slice(0, this.length)).at(-1);
@@ -108,6 +108,6 @@
     }
 }
 
-/** Bytes of messages as they are sent to an engine. */
-export const sizeOf = (messages: readonly Message[]): number =>
+/** Size of messages as JSON, as they are sent to an engine. */
+export const encodedBytes = (messages: readonly Message[]): number =>
     messages.reduce((sum, message) => sum + Buffer.byteLength(JSON.stringify(message)), 0);
--- a/packages/daemon/src/programs/programState.ts
+++ b/packages/daemon/src/programs/programState.ts
@@ -1,4 +1,4 @@
-/** Everything the owner keeps of one live program. */
+/** In-memory state of a live program on the instance that owns its slot. */
 import type { Agent, ProgramClaims } from "@marigolddrift/common";
 import { inheritAccount, openAccount } from "@marigolddrift/ledger";
 import type { BudgetAccount, HandedOver, ProgramEntry } from "@marigolddrift/ledger";
@@ -11,15 +11,15 @@
 import { CallSequencer } from "./callSequencer.js";
 import { ProgramHistory } from "./programHistory.js";
 
-/** A call whose answer can be joined or replayed. */
+/** A call whose answer can be joined while it runs, or replayed afterwards. */
 export interface CallEntry {
     readonly call: number;
-    /** Digest of the request, which tells a repeat from another request under the same number. */
+    /** Digest of the request, which distinguishes a retry from a different request with the same call number. */
     readonly request: string;
     readonly log: AnswerLog;
 }
 
-/** Why a call went where it went. */
+/** Record of a placement decision for a call. */
 export interface Decision {
     readonly at: number;
     readonly call: number;
@@ -31,10 +31,10 @@
 /** Why a program ended. */
 export type EndReason = "ended" | "deadline" | "budget" | "loop" | "turns" | "cancelled";
 
-const keptAnswers = 2;
-const keptDecisions = 50;
+const maxStoredAnswers = 2;
+const maxStoredDecisions = 50;
 
-/** One live program. */
+/** A live program. */
 export class ProgramState {
     readonly lifecycle: ProgramLifecycle = createProgramLifecycle();
     readonly sequencer: CallSequencer;
@@ -43,9 +43,9 @@
     account: BudgetAccount;
     loop: LoopState = noLoop;
     turns = 0;
-    /** Engine time that calls have used, in milliseconds. */
+    /** Attained service: the engine time that all calls have used. */
     attainedMs = 0;
-    /** Tokens of the whole history, as the engine counted them; 0 if unknown. */
+    /** Tokens of the whole history, as counted by the engine; 0 if unknown. */
     historyTokens = 0;
     meanAnswerTokens = 0;
     lastCallEndedAt = 0;
@@ -55,27 +55,27 @@
     private readonly answers = new Map<number, CallEntry>();
 
     /**
-     * @param entry What the ledger knows of the program.
-     * @param opened Whether this instance has just opened the program.
-     * @param handed What the former owner handed over.
+     * @param entry Entry of the program in the ledger, if it has one.
+     * @param isNew Whether this instance has just opened the program.
+     * @param handedOver State that the previous owner handed over, if any.
      */
     constructor(
         readonly id: string,
         readonly claims: ProgramClaims,
         readonly agent: Agent,
         entry: ProgramEntry | undefined,
-        opened: boolean,
-        handed?: HandedOver,
+        isNew: boolean,
+        handedOver?: HandedOver,
     ) {
-        this.account = opened ?
+        this.account = isNew ?
             openAccount(claims.budget, claims.firstChunk) :
             inheritAccount(claims.budget, claims.firstChunk, entry?.reserved);
-        this.sequencer = new CallSequencer(opened ? 1 : handed?.nextCall);
-        this.history = handed === undefined ?
-            new ProgramHistory(id, !opened) :
-            ProgramHistory.handedOver(id, handed.historyDigest, handed.historyLength);
-        this.turns = handed?.turns ?? 0;
-        this.historyTokens = handed?.historyTokens ?? 0;
+        this.sequencer = new CallSequencer(isNew ? 1 : handedOver?.nextCall);
+        this.history = handedOver === undefined ?
+            new ProgramHistory(id, !isNew) :
+            ProgramHistory.fromHandOver(id, handedOver.historyDigest, handedOver.historyLength);
+        this.turns = handedOver?.turns ?? 0;
+        this.historyTokens = handedOver?.historyTokens ?? 0;
         if (entry?.ended === true) {
             this.end("ended");
         }
@@ -91,7 +91,7 @@
         this.history.dropMessages();
     }
 
-    /** What the next owner needs to go on, if this one knows it. */
+    /** State that the next owner needs to continue the program; undefined if it is not fully known here. */
     handOver(epoch: number): HandedOver | undefined {
         const { nextCall } = this.sequencer;
         const historyLength = this.history.knownLength;
@@ -102,21 +102,21 @@
         return { epoch, nextCall, turns, historyDigest: this.history.digest, historyLength, historyTokens };
     }
 
-    answerOf(call: number): CallEntry | undefined {
+    storedAnswer(call: number): CallEntry | undefined {
         return this.answers.get(call);
     }
 
-    keepAnswer(entry: CallEntry): void {
+    storeAnswer(entry: CallEntry): void {
         this.answers.set(entry.call, entry);
         for (const call of this.answers.keys()) {
-            if (call <= entry.call - keptAnswers) {
+            if (call <= entry.call - maxStoredAnswers) {
                 this.answers.delete(call);
             }
         }
     }
 
-    /** Forgets an answer, so that the call can be sent again. */
-    forgetAnswer(entry: CallEntry): void {
+    /** Removes an answer, so that the call can be retried. */
+    removeAnswer(entry: CallEntry): void {
         if (this.answers.get(entry.call) === entry) {
             this.answers.delete(entry.call);
         }
@@ -124,7 +124,7 @@
 
     addDecision(decision: Decision): void {
         this.decisions.push(decision);
-        if (this.decisions.length > keptDecisions) {
+        if (this.decisions.length > maxStoredDecisions) {
             this.decisions.shift();
         }
     }
--- a/packages/daemon/src/router.ts
+++ b/packages/daemon/src/router.ts
@@ -66,7 +66,9 @@
         if (this.slots.hasOpenSlot) {
             return this.self;
         }
-        const owners = this.slots.directory.owners().filter(owner => this.membership.peerOf(owner) !== undefined);
+        const owners = this.slots.directory.owners().filter(owner =>
+            this.membership.connectedPeer(owner) !== undefined
+        );
         this.turn += 1;
         return owners[this.turn % Math.max(1, owners.length)] ?? this.self;
     }
@@ -145,7 +147,7 @@
         if (target === this.self) {
             return this.owner.answer(req, progress);
         }
-        const peer = this.membership.peerOf(target);
+        const peer = this.membership.connectedPeer(target);
         if (peer === undefined) {
             throw new PeerLostError(target, false);
         }
--- a/packages/daemon/src/workerPool.ts
+++ b/packages/daemon/src/workerPool.ts
@@ -30,7 +30,7 @@
     /** Workers of the own region; those of other regions only if none is left here. */
     views(req: DispatchRequest): WorkerView[] {
         const now = Date.now();
-        const usable = this.upstreams.workersFor(req.model).filter(worker => worker.mayServe(now));
+        const usable = this.upstreams.workersFor(req.model).filter(worker => worker.canAcceptCall(now));
         const fresh = usable.filter(worker => !req.excluded.has(worker.address));
         const tried = fresh.length > 0 ? fresh : usable;
         const near = tried.filter(worker => this.upstreams.regionOf(worker.zone) === this.self.region);
@@ -63,10 +63,10 @@
             zone: worker.zone,
             ownInFlight: worker.inFlight,
             reportedInFlight: reported === undefined ? 0 : reported.load.running + reported.load.waiting,
-            ownAtReport: reported?.ownInFlight ?? 0,
+            ownAtReport: reported?.localInFlight ?? 0,
             reportAgeMs: reported === undefined ? 0 : now - reported.at,
-            cachedTokens: this.memory.view.cachedTokens(req.program, worker.address, now),
-            exportedTokens: this.memory.view.exportedTokens(req.program, worker.address),
+            cachedTokens: this.memory.cacheView.cachedTokens(req.program, worker.address, now),
+            exportedTokens: this.memory.cacheView.exportedTokens(req.program, worker.address),
             slowdown: worker.slowdown,
             roundTripMs: expectedRoundTripMs(this.self, {
                 zone: worker.zone,
--- a/tests/configuration/bundleChain.test.ts
+++ b/tests/configuration/bundleChain.test.ts
@@ -9,7 +9,7 @@
     silentLogger,
 } from "@marigolddrift/common";
 import type { BundleDocument, CarriedBundle } from "@marigolddrift/common";
-import { Bundles } from "@marigolddrift/daemon";
+import { BundleManager } from "@marigolddrift/daemon";
 import type { Membership } from "@marigolddrift/daemon";
 import { BundleChain, BundleConflictError } from "@marigolddrift/store";
 import { expect } from "earl";
@@ -133,19 +133,19 @@
     it("should come back from the data folder while the store is away, and not go below it", () => {
         const store = new FakeStore();
         const dataFolder = mkdtempSync(join(tmpdir(), "marigolddrift-"));
-        const create = (): Bundles =>
-            new Bundles(store, () => undefined as unknown as Membership, {
+        const create = (): BundleManager =>
+            new BundleManager(store, () => undefined as unknown as Membership, {
                 region,
                 operators: keys,
                 dataFolder,
                 onChange: () => {},
             }, silentLogger);
         const first = create();
-        expect(first.take(carry(3), "test")).toEqual(true);
+        expect(first.apply(carry(3), "test")).toEqual(true);
         const second = create();
-        second.readFolder();
+        second.loadFromDisk();
         expect(second.version).toEqual(3);
-        expect(second.take(carry(2), "a stale watch")).toEqual(false);
+        expect(second.apply(carry(2), "a stale watch")).toEqual(false);
         expect(second.version).toEqual(3);
     });
 
--- a/tests/history/programHistory.test.ts
+++ b/tests/history/programHistory.test.ts
@@ -23,26 +23,26 @@
     }
 };
 
-describe("a program's history", () => {
-    it("should accept the whole conversation and find what is new", () => {
+describe("program history", () => {
+    it("should accept the whole conversation and return the new messages", () => {
         const { fresh } = oneTurn().resolve([user("a"), answer("b"), user("c")], undefined);
         expect(fresh).toEqual([user("c")]);
     });
 
-    it("should refuse a conversation that was changed", () => {
+    it("should reject a conversation that does not extend the history", () => {
         expect(codeOf(() => oneTurn().resolve([user("a"), answer("changed"), user("c")], undefined))).toEqual(
             "history_mismatch",
         );
         expect(codeOf(() => oneTurn().resolve([user("a")], undefined))).toEqual("history_mismatch");
     });
 
-    it("should accept only what is new against the digest", () => {
+    it("should accept only the new messages when the digest matches", () => {
         const history = oneTurn();
         const { all } = history.resolve([user("c")], history.digest);
         expect(all).toEqual([user("a"), answer("b"), user("c")]);
     });
 
-    it("should refuse the digest of another program", () => {
+    it("should reject the digest of another program", () => {
         const other = extendHistory(emptyHistory("p2"), [user("a"), answer("b")]);
         expect(codeOf(() => oneTurn().resolve([user("c")], other))).toEqual("history_mismatch");
     });
@@ -55,9 +55,9 @@
         expect(codeOf(() => new ProgramHistory("p1", true).resolve([user("c")], digest))).toEqual("send_in_full");
     });
 
-    it("should go on from what a former owner handed over", () => {
+    it("should build on the digest that a previous owner handed over", () => {
         const { digest } = oneTurn();
-        const history = ProgramHistory.handedOver("p1", digest, 2);
+        const history = ProgramHistory.fromHandOver("p1", digest, 2);
         expect(codeOf(() => history.resolve([user("x"), answer("b"), user("c")], undefined))).toEqual(
             "history_mismatch",
         );
--- a/tests/memory/sweep.test.ts
+++ b/tests/memory/sweep.test.ts
@@ -21,19 +21,19 @@
         await fleet.stop();
     });
 
-    const holds = (id: string): boolean =>
+    const isHeld = (id: string): boolean =>
         [...fleet.standins.engines.values()].some(engine => engine.core.cache.heldKeys().includes(id));
 
     it("should be released by the sweep once the program's deadline has passed", async () => {
         const { id } = await client.open(fleet.url(0), { agent: "restock-planner", deadline_seconds: 2 });
         await client.chat(fleet.url(0), id, [{ role: "user", content: "a [[tokens=3]]" }], { call: 1 });
-        expect(holds(id)).toEqual(true);
+        expect(isHeld(id)).toEqual(true);
         const [owner] = fleet.daemons.splice(0, 1);
         await owner!.stop();
-        for (let polls = 0; holds(id) && polls < maxPolls; polls++) {
+        for (let polls = 0; isHeld(id) && polls < maxPolls; polls++) {
             await new Promise(resolve => setTimeout(resolve, pollMs));
         }
-        expect(holds(id)).toEqual(false);
+        expect(isHeld(id)).toEqual(false);
     });
 
     it("should let another daemon go on with a program whose owner died", async () => {
@@ -53,7 +53,7 @@
 });
 
 describe("rotation of keys", () => {
-    it("should let daemons with old and new keys talk, without a restart", async () => {
+    it("should let daemons with old and new keys communicate without a restart", async () => {
         const fleet = new LocalFleet({ layout });
         const client = new Client(layout.callerKey);
         await fleet.start();
--- a/tests/order/callSequencer.test.ts
+++ b/tests/order/callSequencer.test.ts
@@ -12,7 +12,7 @@
 };
 
 describe("the order of calls", () => {
-    it("should run calls by number, however they arrive", async () => {
+    it("should run calls by number, whatever the order of their arrival", async () => {
         await withClock(async clock => {
             const progress = new Progress(60_000);
             const sequencer = new CallSequencer(1);
@@ -24,7 +24,7 @@
         });
     });
 
-    it("should wait for a missing call until the deadline and then say that it did not run", async () => {
+    it("should wait for a missing earlier call until the deadline, and then report that the call did not run", async () => {
         await withClock(async clock => {
             const progress = new Progress(1_000);
             const waiting = runCall(new CallSequencer(1), 2, [], progress).catch((err: unknown) => err);
@@ -33,7 +33,7 @@
         });
     });
 
-    it("should let a call run again that did not run", async () => {
+    it("should allow a retry of a call that did not run", async () => {
         const progress = new Progress(1_000);
         const sequencer = new CallSequencer(1);
         await sequencer.enter(1, progress);
@@ -43,7 +43,7 @@
         progress.dispose();
     });
 
-    it("should begin with the lowest call that arrives after a change of owner", async () => {
+    it("should begin with the lowest call that arrives within the grace period after a change of owner", async () => {
         await withClock(async clock => {
             const progress = new Progress(60_000);
             const sequencer = new CallSequencer(undefined);
@@ -57,10 +57,13 @@
         });
     });
 
-    it("should refuse a call that comes after a later one ran", async () => {
+    it("should reject a call that arrives after a later one ran", async () => {
         const progress = new Progress(1_000);
         const sequencer = new CallSequencer(5);
-        await expect(sequencer.enter(4, progress)).toBeRejectedWith(ProblemError, "Call 4 comes after call 4 ran.");
+        await expect(sequencer.enter(4, progress)).toBeRejectedWith(
+            ProblemError,
+            "Call 4 arrived after call 4 had run.",
+        );
         progress.dispose();
     });
 });
--- a/tests/ownership/slots.test.ts
+++ b/tests/ownership/slots.test.ts
@@ -12,10 +12,10 @@
 const slotCount = 4;
 const leaseSeconds = 6;
 
-/** The view of the members that both owners of a test share. */
+/** Fake membership over a set of live instances, which the owners in a test may share. */
 class FakeMembership {
     leaving = false;
-    constructor(readonly alive: Set<string>, private readonly self: string) {}
+    constructor(readonly alive: Set<string>, private readonly instance: string) {}
 
     members(): Member[] {
         return [...this.alive].map(instance => ({ instance, zone: "z", region: "r" }));
@@ -27,10 +27,10 @@
     }
 
     isAlive(instance: string): boolean {
-        return instance !== this.self && this.alive.has(instance);
+        return instance !== this.instance && this.alive.has(instance);
     }
 
-    peerOf(): undefined {
+    connectedPeer(): undefined {
         return undefined;
     }
 
@@ -59,7 +59,7 @@
 
 const withSlots = (
     test: (
-        parts: { store: FakeStore; slots: Slots; clock: Parameters<Parameters<typeof withClock>[0]>[0]; },
+        fixture: { store: FakeStore; slots: Slots; clock: Parameters<Parameters<typeof withClock>[0]>[0]; },
     ) => Promise<void>,
 ) => withClock(async clock => {
     const store = new FakeStore();
@@ -94,24 +94,24 @@
         });
     });
 
-    it("should not let an owner act that was paused beyond its lease and lost its slot", async () => {
+    it("should reject work of an owner that lost its slot while it was paused beyond its lease", async () => {
         await withClock(async clock => {
             const store = new FakeStore();
             const paused = createSlots(store, "a", new Set(["a"]));
             await paused.start();
             await clock.tickAsync(600);
             const slot = anySlot(paused);
-            // The pause: the owner's timers are cleared, as if the process were stopped.
+            // Simulates a paused process: the renewal timer is cleared, so that the lease lapses.
             clock.setSystemTime(Date.now());
-            const renewals = paused.lease as unknown as { timer: NodeJS.Timeout; };
-            clearInterval(renewals.timer);
+            const lease = paused.lease as unknown as { timer: NodeJS.Timeout; };
+            clearInterval(lease.timer);
             await clock.tickAsync(leaseSeconds * 1000 + 500);
             const next = createSlots(store, "b", new Set(["b"]));
             await next.start();
             await clock.tickAsync(1_000);
             expect(next.all().length).toEqual(slotCount);
             const progress = new Progress(1_000);
-            await expect(paused.recheck(slot, progress)).toBeRejectedWith(NotOwnerError);
+            await expect(paused.verifyOwned(slot, progress)).toBeRejectedWith(NotOwnerError);
             await expect(paused.mutate(slot, record => reserve(record, "p", 10, 1e15))).toBeRejectedWith(NotOwnerError);
             expect(recordOf(store, slot.slot).programs).toEqual({});
             progress.dispose();
@@ -119,7 +119,7 @@
         });
     });
 
-    it("should settle lost replies by reading back, and apply each change once", async () => {
+    it("should settle writes with a lost reply by reading back, and apply each mutation once", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             store.fault = "loseReply";
             store.faultsLeft = 1;
@@ -132,7 +132,7 @@
         });
     });
 
-    it("should write many changes of many slots together", async () => {
+    it("should group changes of many slots into few writes", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             const before = store.writes;
             const changes = slots.all().flatMap(slot =>
@@ -150,7 +150,7 @@
         });
     });
 
-    it("should keep its slots while the store is away, but call nothing durable", async () => {
+    it("should keep its slots while the store is unavailable, but mark each call as not durable", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             store.fault = "down";
             await clock.tickAsync(120_000);
@@ -162,7 +162,7 @@
         });
     });
 
-    it("should write what waited once the store is back, without a stampede", async () => {
+    it("should write pending mutations in few writes once the store is available again", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             store.fault = "down";
             const slot = anySlot(slots);
@@ -180,20 +180,20 @@
         });
     });
 
-    it("should leave no owner in the record after a hand-over", async () => {
+    it("should leave the record without an owner after a handover", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             const { slot } = anySlot(slots);
             const progress = new Progress(5_000);
             (slots as unknown as { membership: FakeMembership; }).membership.leaving = true;
-            const handed = slots.handOver(slot, progress);
+            const handedOver = slots.handOver(slot, progress);
             await clock.tickAsync(500);
-            expect(await handed).toEqual(true);
+            expect(await handedOver).toEqual(true);
             expect(recordOf(store, slot).owner).toEqual("");
             progress.dispose();
         });
     });
 
-    it("should take back a slot whose record names it although it does not hold the slot", async () => {
+    it("should take over and release a slot on a handover request if only its record names this instance", async () => {
         await withClock(async clock => {
             const store = new FakeStore();
             const slots = createSlots(store, "a", new Set(["a", "b"]));
@@ -202,21 +202,21 @@
             const { packRecord } = await import("@marigolddrift/ledger");
             await store.txn([], [{ key: slotKey(0), value: packRecord(record) }]);
             const progress = new Progress(5_000);
-            const handed = slots.handOver(0, progress);
+            const handedOver = slots.handOver(0, progress);
             await clock.tickAsync(1_000);
-            expect([await handed, recordOf(store, 0).owner]).toEqual([true, ""]);
+            expect([await handedOver, recordOf(store, 0).owner]).toEqual([true, ""]);
             progress.dispose();
             await slots.stop();
         });
     });
 
-    it("should hold a slot in memory only when it starts while the store is away", async () => {
+    it("should own a slot provisionally when started while the store is unavailable, and claim it afterwards", async () => {
         await withClock(async clock => {
             const store = new FakeStore();
             store.fault = "down";
             const slots = createSlots(store, "a", new Set(["a"]));
             await slots.start();
-            const slot = await slots.openableSlot(() => 0);
+            const slot = await slots.pickOpenSlot(() => 0);
             expect([slot?.provisional, slot?.epoch]).toEqual([true, 0]);
             store.fault = "none";
             await clock.tickAsync(10_000);
@@ -225,7 +225,7 @@
         });
     });
 
-    it("should keep the instance's key only as long as its lease", async () => {
+    it("should keep the instance's key only until its lease ends", async () => {
         await withSlots(async ({ store, slots, clock }) => {
             expect(store.state.get(instanceKey("a")) === undefined).toEqual(false);
             await slots.stop();
--- a/tests/storeFaults/intents.test.ts
+++ b/tests/storeFaults/intents.test.ts
@@ -10,7 +10,7 @@
     zones: [{ zone: "tunis-a", region: "tunis-north", daemons: 1, engines: 1, services: 1 }],
 };
 
-describe("calls while the store is away", () => {
+describe("calls while the store is unavailable", () => {
     const fleet = new LocalFleet({ layout });
     const client = new Client(layout.callerKey);
 
@@ -20,32 +20,32 @@
         await fleet.stop();
     });
 
-    const order = (key: string, timeout: string): ReturnType<Client["service"]> =>
+    const placeOrder = (key: string, timeout: string): ReturnType<Client["service"]> =>
         client.service(fleet.url(0), "cart-ops/orders", { "idempotency-key": key, "request-timeout": timeout }, {
             key,
         });
-    const setDown = (on: boolean): void =>
+    const setStoreDown = (on: boolean): void =>
         fleet.standins.store.server.faults.apply({ fault: "down", on, ms: 0, count: 0 });
     const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.counts();
 
-    it("should say that an order did not run, and run it once when it is sent again", async () => {
-        setDown(true);
-        const first = await order("o-1", "1");
+    it("should report that an order did not run, and run it once when it is retried after the outage", async () => {
+        setStoreDown(true);
+        const first = await placeOrder("o-1", "1");
         expect(first.value as Problem).toHaveSubset({ verdict: "notRun" });
-        const second = await order("o-1", "1");
+        const second = await placeOrder("o-1", "1");
         expect(second.value as Problem).toHaveSubset({ verdict: "notRun" });
         expect(executions().get("o-1")).toEqual(undefined);
-        setDown(false);
-        const third = await order("o-1", "20");
+        setStoreDown(false);
+        const third = await placeOrder("o-1", "20");
         expect(third.status).toEqual(200);
         expect(executions().get("o-1")).toEqual(1);
     });
 
     it("should go on with model calls and new programs", async () => {
-        setDown(true);
+        setStoreDown(true);
         const { id } = await client.open(fleet.url(0), { agent: "restock-planner" });
         const answer = await client.chat(fleet.url(0), id, [{ role: "user", content: "a [[tokens=3]]" }], { call: 1 });
-        setDown(false);
+        setStoreDown(false);
         expect(answer.status).toEqual(200);
     });
 });
--- a/tests/upstreams/upstream.test.ts
+++ b/tests/upstreams/upstream.test.ts
@@ -1,5 +1,5 @@
 import { bundleSchema } from "@marigolddrift/common";
-import { firstOrderAt, maxOrderDelayMs, ordersFor, Upstream } from "@marigolddrift/daemon";
+import { earliestOrderAt, ordersFor, orderTimeoutMs, Upstream } from "@marigolddrift/daemon";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 
@@ -21,13 +21,13 @@
         await withClock(async clock => {
             const upstream = new Upstream("u", "z", () => {});
             upstream.onFailure(true, Date.now());
-            expect(upstream.mayServe(Date.now())).toEqual(false);
+            expect(upstream.canAcceptCall(Date.now())).toEqual(false);
             await clock.tickAsync(1_001);
-            expect(upstream.mayServe(Date.now())).toEqual(true);
+            expect(upstream.canAcceptCall(Date.now())).toEqual(true);
             upstream.onAssigned();
-            expect(upstream.mayServe(Date.now())).toEqual(false);
+            expect(upstream.canAcceptCall(Date.now())).toEqual(false);
             upstream.onSuccess();
-            expect(upstream.mayServe(Date.now())).toEqual(true);
+            expect(upstream.canAcceptCall(Date.now())).toEqual(true);
         });
     });
 
@@ -35,9 +35,9 @@
         const upstream = new Upstream("u", "z", () => {});
         upstream.setLeaving("report", true);
         upstream.setLeaving("list", false);
-        expect(upstream.mayServe(0)).toEqual(false);
+        expect(upstream.canAcceptCall(0)).toEqual(false);
         upstream.setLeaving("report", false);
-        expect(upstream.mayServe(0)).toEqual(true);
+        expect(upstream.canAcceptCall(0)).toEqual(true);
     });
 
     it("should compare a load report with its own calls of that time", async () => {
@@ -47,16 +47,16 @@
             await clock.tickAsync(1_000);
             upstream.onAssigned();
             upstream.onAssigned();
-            upstream.onLoad(load(5, 600), Date.now());
-            expect(upstream.reported?.ownInFlight).toEqual(1);
+            upstream.onLoadReport(load(5, 600), Date.now());
+            expect(upstream.reported?.localInFlight).toEqual(1);
         });
     });
 
     it("should keep the newer of two load reports", async () => {
         await withClock(async () => {
             const upstream = new Upstream("u", "z", () => {});
-            upstream.onLoad(load(5, 100), Date.now());
-            upstream.onLoad(load(9, 3_000), Date.now());
+            upstream.onLoadReport(load(5, 100), Date.now());
+            upstream.onLoadReport(load(9, 3_000), Date.now());
             expect(upstream.reported?.load.running).toEqual(5);
         });
     });
@@ -92,7 +92,7 @@
     });
 
     it("should wait until a former orderer's orders can no longer arrive, unless engines check", () => {
-        expect(firstOrderAt(1_000, false)).toEqual(1_000 + maxOrderDelayMs);
-        expect(firstOrderAt(1_000, true)).toEqual(1_000);
+        expect(earliestOrderAt(1_000, false)).toEqual(1_000 + orderTimeoutMs);
+        expect(earliestOrderAt(1_000, true)).toEqual(1_000);
     });
 });
