--- a/packages/daemon/src/controllers/bundles.ts
+++ b/packages/daemon/src/controllers/bundles.ts
@@ -165,12 +165,12 @@
     /** Follows key rotations through versions that this instance missed; each version names the keys for the next. */
     private async keysAfterRotations(version: number, progress: Progress): Promise<OperatorKeys> {
         let keys = this.trustedKeys();
-        for (const { value: doc } of await this.chain.versions(progress)) {
-            const isBetween = doc.version > this.version && doc.version < version;
-            const isSigned = doc.signOff !== undefined && doc.signOff.operator !== doc.proposer &&
-                verifyBundle(doc, "sign-off", doc.signOff, keys);
+        for (const { value: document } of await this.chain.versions(progress)) {
+            const isBetween = document.version > this.version && document.version < version;
+            const isSigned = document.signOff !== undefined && document.signOff.operator !== document.proposer &&
+                verifyBundle(document, "sign-off", document.signOff, keys);
             if (isBetween && isSigned) {
-                keys = operatorKeysOf(parseBundle(doc.text));
+                keys = operatorKeysOf(parseBundle(document.text));
             }
         }
         return keys;
--- a/packages/daemon/src/controllers/engineMemory.ts
+++ b/packages/daemon/src/controllers/engineMemory.ts
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Makes a worker drop a program's prefix; retries up to {@link maxReleaseAttempts} times. */
+    /** Makes a worker drop a program's prefix, with at most {@link maxReleaseAttempts} attempts. */
     async release(worker: string, program: string): Promise<void> {
         for (let attempt = 0; attempt < maxReleaseAttempts; attempt++) {
             const progress = new Progress(requestTimeoutMs);
--- a/packages/daemon/src/controllers/ownedSlot.ts
+++ b/packages/daemon/src/controllers/ownedSlot.ts
@@ -74,7 +74,7 @@
         this.committing = [];
     }
 
-    /** Rejects all pending mutations, and rolls the record back to the last stored one. */
+    /** Rejects all pending mutations, and rolls the record back to the last stored one unless the slot is lost. */
     rejectPending(err: Error): void {
         const waiters = [...this.committing, ...this.queued];
         this.committing = [];
--- a/packages/daemon/src/controllers/poolOrders.ts
+++ b/packages/daemon/src/controllers/poolOrders.ts
@@ -152,18 +152,18 @@
         try {
             const key = `/marigolddrift/pools/${name}`;
             const stored = await store.get(key, progress);
-            const former = stored === undefined ?
+            const previous = stored === undefined ?
                 undefined :
                 poolRecordSchema.parse(JSON.parse(stored.value.toString()));
             const record = {
                 pool: name,
-                epoch: (former?.epoch ?? 0) + 1,
+                epoch: (previous?.epoch ?? 0) + 1,
                 owner: identity.instance,
                 nonce: createNonce(),
             };
-            const fence: Compare[] = former === undefined || former.owner === identity.instance ?
+            const fence: Compare[] = previous === undefined || previous.owner === identity.instance ?
                 [] :
-                [{ key: instanceKey(former.owner), revision: 0 }];
+                [{ key: instanceKey(previous.owner), revision: 0 }];
             const compares = [{ key, revision: stored?.revision ?? 0 }, ...fence];
             const result = await store.txn(compares, [{ key, value: Buffer.from(JSON.stringify(record)) }], progress);
             if (!result.succeeded) {
--- a/packages/daemon/src/controllers/programs.ts
+++ b/packages/daemon/src/controllers/programs.ts
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Decodes and authorizes the id that a caller sent.
+     * Decodes the id that a caller sent, and checks that the program belongs to the workspace.
      *
      * @throws ProblemError `unknown_program` or `forbidden`.
      */
-    claimsOf(id: string, workspace: string): ProgramClaims {
+    authorizeId(id: string, workspace: string): ProgramClaims {
         const claims = decodeProgramId(id, this.options.idKeys());
         if (claims === undefined) {
             throw new ProblemError("unknown_program", "notRun", "The program id was not issued by this system.");
@@ -145,7 +145,7 @@
     }
 
     /** Removes the programs of a slot that this instance no longer owns. */
-    dropSlot(slot: number): void {
+    removeSlot(slot: number): void {
         for (const [id, program] of this.programs) {
             if (program.claims.slot === slot) {
                 this.programs.delete(id);
--- a/packages/daemon/src/controllers/slotClaims.ts
+++ b/packages/daemon/src/controllers/slotClaims.ts
@@ -50,13 +50,13 @@
     claim(slot: number): Promise<string | undefined> {
         let claim = this.claiming.get(slot);
         if (claim === undefined) {
-            claim = this.claimOnce(slot).finally(() => this.claiming.delete(slot));
+            claim = this.tryClaim(slot).finally(() => this.claiming.delete(slot));
             this.claiming.set(slot, claim);
         }
         return claim;
     }
 
-    private async claimOnce(slot: number): Promise<string | undefined> {
+    private async tryClaim(slot: number): Promise<string | undefined> {
         if (this.deps.isOwned(slot)) {
             return undefined;
         }
--- a/packages/daemon/src/controllers/slotDirectory.ts
+++ b/packages/daemon/src/controllers/slotDirectory.ts
@@ -5,12 +5,12 @@
     readonly epoch: number;
 }
 
-/** Owners by slot. An announcement with a lower epoch than the known one is ignored. */
+/** Owners by slot; announced epochs that are lower than the known one are ignored. */
 export class SlotDirectory {
     private readonly entries = new Map<number, DirectoryEntry>();
 
     /**
-     * Replaces the entries of an instance by its new announcement.
+     * Replaces the entries of an instance with its new announcement.
      *
      * @param owned Flat list of alternating slots and epochs.
      */
--- a/packages/daemon/src/controllers/slots.ts
+++ b/packages/daemon/src/controllers/slots.ts
@@ -78,8 +78,8 @@
             metrics,
         );
         this.preferredOwners = new PreferredOwners(membership, () => options.slotCount(), () => options.zones());
-        const write = (owned: OwnedSlot, mutation: Mutation): Promise<void> => this.mutate(owned, mutation);
-        this.handOvers = new SlotHandOvers(write, record => options.beforeHandOver(record), log);
+        const mutate = (owned: OwnedSlot, mutation: Mutation): Promise<void> => this.mutate(owned, mutation);
+        this.handOvers = new SlotHandOvers(mutate, record => options.beforeHandOver(record), log);
         this.claims = new SlotClaims({
             instance: identity.instance,
             store,
@@ -122,9 +122,9 @@
 
     /** Number of durably owned slots for which this instance is the preferred owner. */
     get preferredSlotCount(): number {
-        const isSettled = (slot: OwnedSlot): boolean =>
+        const isPreferredHere = (slot: OwnedSlot): boolean =>
             !slot.provisional && this.preferredOwners.ownerOf(slot.slot)?.instance === this.identity.instance;
-        return this.all().filter(isSettled).length;
+        return this.all().filter(isPreferredHere).length;
     }
 
     /** Whether a program can be opened on a slot of this instance. */
@@ -198,7 +198,7 @@
         if (open.length > 0) {
             return open[Math.floor(random() * open.length)];
         }
-        return await this.lease.ensureValid() === "storeAway" ? this.holdProvisionally() : undefined;
+        return await this.lease.ensureValid() === "storeAway" ? this.acquireProvisionally() : undefined;
     }
 
     /** Called when a peer has announced its slots. */
@@ -276,7 +276,7 @@
     }
 
     /** Owns a slot only in memory while the store is unavailable, so that new programs can be opened. */
-    private holdProvisionally(): OwnedSlot | undefined {
+    private acquireProvisionally(): OwnedSlot | undefined {
         const count = this.options.slotCount();
         for (let slot = 0; slot < count; slot++) {
             const announced = this.directory.ownerOf(slot);
@@ -329,7 +329,7 @@
         this.options.onReleased(slot);
     }
 
-    /** Records a change of the owned slots, and announces changes within {@link announceDelayMs} together. */
+    /** Records a change of the owned slots; changes within {@link announceDelayMs} are announced together. */
     private onOwnedChanged(): void {
         this.version += 1;
         this.directory.recordAnnouncement(this.identity.instance, this.announcement());
--- a/packages/daemon/src/controllers/sweeper.ts
+++ b/packages/daemon/src/controllers/sweeper.ts
@@ -93,14 +93,14 @@
     }
 
     private async sweepWorker(worker: string, progress: Progress): Promise<void> {
-        let held: string[];
+        let heldIds: string[];
         try {
-            held = (await this.deps.engines.held(worker, progress)).filter(id => id !== "");
+            heldIds = (await this.deps.engines.held(worker, progress)).filter(id => id !== "");
         }
         catch {
             return;
         }
-        for (const [owner, programs] of this.groupByOwner(held)) {
+        for (const [owner, programs] of this.groupByOwner(heldIds)) {
             for (const id of await this.queryOwner(owner, programs, progress)) {
                 this.deps.metrics.count("memory.swept");
                 this.deps.log.info("releasing prefix of ended program", {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -240,7 +240,7 @@
                 retentionMs: () =>
                     (this.bundles.current?.limits.outcomeRetentionSeconds ?? 0) * 1000 || defaultRetentionMs,
                 onOwned: () => {},
-                onReleased: slot => this.programs.dropSlot(slot),
+                onReleased: slot => this.programs.removeSlot(slot),
                 beforeHandOver: record => this.programs.finalizeRecord(record),
             },
             this.log,
--- a/packages/daemon/src/filters/parseFilter.ts
+++ b/packages/daemon/src/filters/parseFilter.ts
@@ -34,7 +34,7 @@
         if (route.kind === "service") {
             return this.parseService(ctx, route);
         }
-        ctx.slot = this.programs.claimsOf(route.program, ctx.workspace).slot;
+        ctx.slot = this.programs.authorizeId(route.program, ctx.workspace).slot;
         return { kind: route.kind, workspace: ctx.workspace, program: route.program };
     }
 
@@ -94,7 +94,7 @@
     }
 
     private claimProgram(ctx: EdgeContext, program: string): ProgramClaims {
-        const claims = this.programs.claimsOf(program, ctx.workspace);
+        const claims = this.programs.authorizeId(program, ctx.workspace);
         ctx.slot = claims.slot;
         return claims;
     }
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -74,7 +74,7 @@
         req: OwnerRequest & { kind: "inspect" | "end" | "explain"; },
         progress: Progress,
     ): Promise<unknown> {
-        const claims = this.parts.programs.claimsOf(req.program, req.workspace);
+        const claims = this.parts.programs.authorizeId(req.program, req.workspace);
         const hold = await this.parts.slots.enter(claims.slot, progress);
         try {
             const program = this.parts.programs.load(req.program, claims, hold.slot);
@@ -112,7 +112,7 @@
     }
 
     private async startChat(req: ChatRequest, progress: Progress): Promise<AnswerLog> {
-        const claims = this.parts.programs.claimsOf(req.program, req.workspace);
+        const claims = this.parts.programs.authorizeId(req.program, req.workspace);
         const hold = await this.parts.slots.enter(claims.slot, progress);
         try {
             const program = this.usableProgram(req.program, hold);
