--- a/packages/daemon/src/filters/chains.ts
+++ b/packages/daemon/src/filters/chains.ts
@@ -76,7 +76,8 @@
     const intents = new IntentFilter(deps.slots, isIdempotent, deps.log);
     return [
         new ReplayFilter(intents),
-        // A non-idempotent call that may have run is never repeated, so the next call may run even if its outcome is unknown.
+        // A non-idempotent call that may have run is never repeated: the next call may run even if the outcome is
+        // unknown.
         new OrderFilter(ctx =>
             ctx.lifecycle.state === "done" ||
             (verdictOf(ctx.lifecycle) !== "notRun" && !isIdempotent((ctx as ServiceContext).req.service))
--- a/packages/daemon/src/filters/chatDispatchFilter.ts
+++ b/packages/daemon/src/filters/chatDispatchFilter.ts
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Records a failed attempt, and throws if there must not be another one. A model call is always safe to repeat; only
-     * the number of attempts and the retry budget limit retries.
+     * Records a failed attempt, and throws if there must not be another one. A model call is always safe to repeat;
+     * only the number of attempts and the retry budget limit retries.
      */
     private onUpstreamFailure(ctx: ChatContext, err: UpstreamError, attempt: number, excluded: Set<string>): void {
         const { log, metrics, retryBudget } = this.deps;
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Upper bound of the prompt's tokens; uncounted messages are bounded by their bytes: a token is at least one byte. */
+    /** Upper bound of the prompt's tokens; uncounted messages count by bytes, as a token is at least one byte. */
     private promptBound(ctx: ChatContext): number {
         const { program } = ctx;
         const hasCountedHistory = program.historyTokens > 0 && ctx.newMessages.length < ctx.conversation.length;
--- a/packages/daemon/src/filters/intentFilter.ts
+++ b/packages/daemon/src/filters/intentFilter.ts
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Answers a repeated call from the ledger; returns false if the call is idempotent, is new, or has an intent that is
-     * still being stored.
+     * Answers a repeated call from the ledger; returns false if the call is idempotent, is new, or has an intent that
+     * is still being stored.
      *
      * @throws ProblemError `idempotency_conflict`, `outcome_unknown`, or `already_ran` if the outcome has no body.
      */
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -253,7 +253,10 @@
             });
     }
 
-    /** Cancels a model call whose answer has had no reader for the grace period; service calls must not be interrupted. */
+    /**
+     * Cancels a model call once its answer has had no reader for the grace period. Service calls continue: they must
+     * not be interrupted.
+     */
     private cancelWhenAbandoned<C extends OwnerContext>(ctx: C): void {
         const cancellable = !("outcome" in ctx);
         ctx.log.setOnAbandon(() => {
