--- a/bench/localFleet.ts
+++ b/bench/localFleet.ts
@@ -111,7 +111,7 @@
                 signature: signBundle(doc, `rollout:${region}`, amira.privateKey),
                 at: new Date().toISOString(),
             }));
-            await chain.roll(await chain.rollout(progress), { version, regions }, progress);
+            await chain.updateRollout(await chain.rollout(progress), { version, regions }, progress);
         }
         finally {
             progress.dispose();
--- a/packages/cli/src/bundleCommands.ts
+++ b/packages/cli/src/bundleCommands.ts
@@ -2,7 +2,7 @@
 import { digest, parseBundle, Progress, signBundle, verifyBundle } from "@marigolddrift/common";
 import type { BundleDocument, Rollout } from "@marigolddrift/common";
 import { BundleChain, BundleConflictError, StoreClient } from "@marigolddrift/store";
-import type { Versioned } from "@marigolddrift/store";
+import type { WithRevision } from "@marigolddrift/store";
 import { readFileSync } from "node:fs";
 
 import { AdminClient } from "./adminClient.js";
@@ -196,7 +196,7 @@
         });
     }
 
-    private async find(chain: BundleChain, progress: Progress): Promise<Versioned<BundleDocument>> {
+    private async find(chain: BundleChain, progress: Progress): Promise<WithRevision<BundleDocument>> {
         const versions = await chain.versions(progress);
         const wanted = this.options.version;
         const found = wanted === undefined ?
@@ -220,7 +220,7 @@
             return;
         }
         const entry = { region, at: new Date().toISOString(), ...this.signature(doc, `rollout:${region}`) };
-        await chain.roll(current, { version: doc.version, regions: [...same, entry] }, progress);
+        await chain.updateRollout(current, { version: doc.version, regions: [...same, entry] }, progress);
     }
 
     /** The gate: all live instances of the region have the version in force before the next region gets it. */
--- a/packages/daemon/src/controllers/membership.ts
+++ b/packages/daemon/src/controllers/membership.ts
@@ -199,8 +199,8 @@
             return known;
         }
         const link = new PeerLink(address, this.self, this.keys, this.tls, {
-            onUp: instance => this.onUp(address, instance),
-            onDown: refused => this.onDown(address, refused),
+            onConnected: instance => this.onUp(address, instance),
+            onDisconnected: refused => this.onDown(address, refused),
         }, this.log);
         const lifecycle = this.createLifecycle(address);
         const lastHeartbeat = Date.now();
--- a/packages/daemon/src/controllers/sweeper.ts
+++ b/packages/daemon/src/controllers/sweeper.ts
@@ -91,7 +91,7 @@
     private async sweepWorker(worker: string, progress: Progress): Promise<void> {
         let held: string[];
         try {
-            held = (await this.parts.engines.held(worker, progress)).filter(id => id !== "");
+            held = (await this.parts.engines.heldPrograms(worker, progress)).filter(id => id !== "");
         }
         catch {
             return;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -26,7 +26,7 @@
 import { Owner } from "./owner.js";
 import { createInstanceId } from "./peers/identity.js";
 import type { Identity } from "./peers/identity.js";
-import type { Ask, Heartbeat } from "./peers/messages.js";
+import type { ControlRequest, Heartbeat } from "./peers/messages.js";
 import { PeerServer } from "./peers/peerServer.js";
 import { TlsFiles } from "./peers/tls.js";
 import { Router } from "./router.js";
@@ -308,11 +308,11 @@
             onSlots: (hello, _, owned) => this.slots.onAnnounced(hello.instance, owned),
             onUpstreams: notices => this.upstreams.onNotices(notices),
             answer: (req, progress) => this.owner.answer(req, progress),
-            onAsk: (ask, progress) => this.onAsk(ask, progress),
+            onControlRequest: (ask, progress) => this.onAsk(ask, progress),
         };
     }
 
-    private async onAsk(ask: Ask, progress: Parameters<Slots["handOver"]>[1]): Promise<unknown> {
+    private async onAsk(ask: ControlRequest, progress: Parameters<Slots["handOver"]>[1]): Promise<unknown> {
         if (ask.kind === "handOver") {
             return await this.slots.handOver(ask.slot, progress);
         }
--- a/packages/daemon/src/filters/chatDispatchFilter.ts
+++ b/packages/daemon/src/filters/chatDispatchFilter.ts
@@ -193,7 +193,7 @@
             priority: enginePriority(program.attainedMs, program.agent.priority - middlePriority),
             resumeText: delivered.text,
             options: req.options,
-            firstTokenMs: stallMs + firstTokenPatience * (score.waitMs + score.prefillMs),
+            firstTokenTimeoutMs: stallMs + firstTokenPatience * (score.waitMs + score.prefillMs),
             stallMs,
         }, progress);
         let usage: Usage | undefined;
--- a/packages/daemon/src/peers/frames.ts
+++ b/packages/daemon/src/peers/frames.ts
@@ -1,14 +1,14 @@
-/** Packs and unpacks the messages between daemons. */
+/** Encodes and decodes the messages between daemons. */
 import { Packr, Unpackr } from "msgpackr";
 import VError from "verror";
 
 import { peerMessageSchema } from "./messages.js";
 import type { PeerMessage } from "./messages.js";
 
-/** Largest frame that is accepted. */
+/** Maximum size of an accepted frame. */
 export const maxFrameBytes = 16 * 1024 * 1024;
 
-/** A frame that is not a message of the protocol. */
+/** A frame that does not contain a valid protocol message. */
 export class FrameError extends VError {
     constructor(detail: string) {
         super({ name: "FrameError" }, "%s", detail);
@@ -16,7 +16,7 @@
 }
 
 /**
- * Packs and unpacks the frames of one direction of one connection. The names of fields travel once per connection, so
+ * Encodes or decodes the frames of one direction of one connection. Field names are sent only once per connection, so
  * frames must be unpacked in the order in which they were packed.
  */
 export class FrameCodec {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Unpacks a frame and checks it.
+     * Decodes a frame and validates it.
      *
-     * @throws FrameError if it is not a message of the protocol.
+     * @throws FrameError if it is not a valid protocol message.
      */
     unpack(bytes: Uint8Array): PeerMessage {
         let value: unknown;
@@ -38,13 +38,13 @@
             value = this.unpackr.unpack(bytes);
         }
         catch {
-            throw new FrameError(`a frame of ${bytes.length} bytes cannot be unpacked`);
+            throw new FrameError(`cannot unpack a frame of ${bytes.length} bytes`);
         }
         const parsed = peerMessageSchema.safeParse(value);
         if (!parsed.success) {
             const issue = parsed.error.issues[0];
             throw new FrameError(
-                `a frame is not a peer message: ${issue?.path.join(".") ?? ""} ${issue?.message ?? ""}`,
+                `the frame is not a valid peer message: ${issue?.path.join(".") ?? ""} ${issue?.message ?? ""}`,
             );
         }
         return parsed.data;
--- a/packages/daemon/src/peers/handshake.ts
+++ b/packages/daemon/src/peers/handshake.ts
@@ -1,34 +1,42 @@
-/** Mutual authentication of daemons by a shared key and fresh nonces. */
+/** Mutual authentication of daemons with a shared key and per-connection nonces. */
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
 
 const nonceBytes = 16;
 
-/** Creates a value that is used once. */
+/** Creates a random nonce. */
 export const createNonce = (): string => randomBytes(nonceBytes).toString("base64url");
 
-/** Proof of one side over both nonces and its identity; a recorded proof is useless on another connection. */
+/**
+ * Computes one side's proof that it has the key, over both nonces and its instance id. A proof from one connection
+ * can't be replayed on another, because the nonces differ.
+ */
 export const createMac = (
     key: string,
     side: "connecting" | "accepting",
-    accepting: string,
-    connecting: string,
+    acceptingNonce: string,
+    connectingNonce: string,
     instance: string,
 ): string =>
-    createHmac("sha256", key).update(JSON.stringify([side, accepting, connecting, instance])).digest("base64url");
+    createHmac("sha256", key).update(JSON.stringify([side, acceptingNonce, connectingNonce, instance])).digest(
+        "base64url",
+    );
 
-/** Compares proofs in constant time. */
+/** Compares two proofs in constant time. */
 export const macEquals = (a: string, b: string): boolean => {
     const left = Buffer.from(a);
     const right = Buffer.from(b);
     return left.length === right.length && timingSafeEqual(left, right);
 };
 
-/** Keys for the handshake; while keys are rotated the previous one is accepted too. */
+/** Shared keys for the handshake; the previous key is accepted too during a key rotation. */
 export interface HandshakeKeys {
     readonly key: string;
     readonly previousKey?: string | undefined;
 }
 
-/** Finds the key with which a proof was made. */
-export const findKey = (keys: HandshakeKeys, mac: string, make: (key: string) => string): string | undefined =>
-    [keys.key, keys.previousKey].find(key => key !== undefined && macEquals(make(key), mac));
+/** Returns the key that produces the given proof, or undefined if none does. */
+export const findMatchingKey = (
+    keys: HandshakeKeys,
+    mac: string,
+    computeMac: (key: string) => string,
+): string | undefined => [keys.key, keys.previousKey].find(key => key !== undefined && macEquals(computeMac(key), mac));
--- a/packages/daemon/src/peers/identity.ts
+++ b/packages/daemon/src/peers/identity.ts
@@ -1,20 +1,20 @@
-/** Identity of an instance among its peers. */
+/** Identity that an instance announces to its peers. */
 import { randomBytes } from "node:crypto";
 
-const bootBytes = 6;
+const startIdBytes = 6;
 
-/** What peers know of an instance. */
+/** Identity and address of an instance. */
 export interface Identity {
-    /** Name from the settings and a part that differs at each start. */
+    /** Configured name with a random suffix that changes at each start. */
     readonly instance: string;
     readonly zone: string;
     readonly region: string;
-    /** Address for connections from peers. */
+    /** Address on which the instance accepts peer connections. */
     readonly address: string;
 }
 
-/** Identifies one start of the instance with the given name. */
-export const createInstanceId = (name: string): string => `${name}~${randomBytes(bootBytes).toString("hex")}`;
+/** Creates an id for one run of the instance with the given name. */
+export const createInstanceId = (name: string): string => `${name}~${randomBytes(startIdBytes).toString("hex")}`;
 
-/** Name of the instance, which survives a restart. */
+/** Returns the configured name of an instance, which stays the same after a restart. */
 export const instanceName = (instance: string): string => instance.split("~")[0] ?? instance;
--- a/packages/daemon/src/peers/messages.ts
+++ b/packages/daemon/src/peers/messages.ts
@@ -1,77 +1,77 @@
-/** Messages between daemons; each is checked by its schema when it arrives. */
+/** Schemas of the messages between daemons; each message is validated on receipt. */
 import { z } from "zod";
 
 import { answerEventSchema, ownerRequestSchema } from "../calls.js";
 
-/** Version of the protocol; both sides must speak the same. */
+/** Protocol version; both sides must use the same one. */
 export const protocolVersion = 1;
 
 const id = z.number().int().min(0);
-const short = z.string().max(200);
+const shortString = z.string().max(200);
 
 /** First message of the accepting side. */
 export const challengeSchema = z.strictObject({
     type: z.literal("challenge"),
     version: z.number().int(),
-    nonce: short,
+    nonce: shortString,
 });
 
 /** First message of the connecting side. */
 export const helloSchema = z.strictObject({
     type: z.literal("hello"),
     version: z.number().int(),
-    instance: short,
-    zone: short,
-    region: short,
-    address: short,
-    nonce: short,
-    /** Proof that the connecting side has the key. */
-    mac: short,
+    instance: shortString,
+    zone: shortString,
+    region: shortString,
+    address: shortString,
+    nonce: shortString,
+    /** Proof that the connecting side has the shared key. */
+    mac: shortString,
 });
 export type Hello = z.infer<typeof helloSchema>;
 
-/** Proof that the accepting side has the key. */
-export const welcomeSchema = z.strictObject({ type: z.literal("welcome"), instance: short, mac: short });
+/** Second message of the accepting side, with its proof that it has the shared key. */
+export const welcomeSchema = z.strictObject({ type: z.literal("welcome"), instance: shortString, mac: shortString });
 
-/** Load of one worker, as one instance read it. */
-export const loadSchema = z.strictObject({
-    worker: short,
+/** Load of one worker, as read by one instance. */
+export const workerLoadSchema = z.strictObject({
+    worker: shortString,
     running: z.number(),
     waiting: z.number(),
     heldTokens: z.number(),
     memoryTokens: z.number(),
-    /** Age of the report when it was sent, in milliseconds. */
+    /** Age of the load report when the heartbeat was sent. */
     ageMs: z.number(),
     leaving: z.boolean(),
-    models: z.array(short).max(100),
+    models: z.array(shortString).max(100),
 });
-export type WorkerLoad = z.infer<typeof loadSchema>;
+export type WorkerLoad = z.infer<typeof workerLoadSchema>;
 
 export const heartbeatSchema = z.strictObject({
     type: z.literal("heartbeat"),
     leaving: z.boolean(),
     bundle: z.number().int().min(0),
     slotsVersion: z.number().int().min(0),
-    /** Time until the next heartbeat to the receiver, in milliseconds. */
+    /** Time until the sender's next heartbeat to the receiver. */
     periodMs: z.number().min(0),
-    loads: z.array(loadSchema).max(1000),
+    loads: z.array(workerLoadSchema).max(1000),
 });
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
 
-/** All slots that the sender owns, as pairs of slot and epoch in one flat list. */
+/** All slots that the sender owns, as a flat list of alternating slots and epochs. */
 export const slotsSchema = z.strictObject({
     type: z.literal("slots"),
     version: z.number().int().min(0),
     owned: z.array(z.number().int().min(0)),
 });
 
-/** Upstreams that were found to be leaving, or to have returned. */
+/** Upstreams that started to leave or have returned. */
 export const upstreamStateSchema = z.strictObject({
     type: z.literal("upstreams"),
     states: z.array(z.strictObject({
-        address: short,
+        address: shortString,
         leaving: z.boolean(),
-        /** Who says so; an upstream is leaving as long as one source says so. */
+        /** Source of the state; an upstream counts as leaving while at least one source reports it so. */
         source: z.enum(["list", "report", "operator"]),
     })).max(1000),
 });
@@ -86,11 +86,11 @@
 export const cancelSchema = z.strictObject({ type: z.literal("cancel"), id });
 export const eventSchema = z.strictObject({ type: z.literal("event"), id, event: answerEventSchema });
 
-/** The receiver does not own the slot; `owner` is who does, as far as it knows. */
-export const notOwnerSchema = z.strictObject({ type: z.literal("notOwner"), id, owner: short.optional() });
+/** Reply to a call for a slot that the receiver does not own; `owner` is the owner, if the receiver knows it. */
+export const notOwnerSchema = z.strictObject({ type: z.literal("notOwner"), id, owner: shortString.optional() });
 
-/** Questions with one reply. */
-export const askSchema = z.strictObject({
+/** Control requests, each of which gets exactly one reply. */
+export const controlRequestSchema = z.strictObject({
     type: z.literal("ask"),
     id,
     ask: z.discriminatedUnion("kind", [
@@ -99,7 +99,7 @@
         z.strictObject({ kind: z.literal("live"), programs: z.array(z.string().max(2000)).max(5000) }),
     ]),
 });
-export const replySchema = z.strictObject({ type: z.literal("reply"), id, value: z.unknown() });
+export const controlReplySchema = z.strictObject({ type: z.literal("reply"), id, value: z.unknown() });
 
 export const peerMessageSchema = z.discriminatedUnion("type", [
     challengeSchema,
@@ -112,8 +112,8 @@
     cancelSchema,
     eventSchema,
     notOwnerSchema,
-    askSchema,
-    replySchema,
+    controlRequestSchema,
+    controlReplySchema,
 ]);
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
-export type Ask = z.infer<typeof askSchema>["ask"];
+export type ControlRequest = z.infer<typeof controlRequestSchema>["ask"];
--- a/packages/daemon/src/peers/peerErrors.ts
+++ b/packages/daemon/src/peers/peerErrors.ts
@@ -1,9 +1,9 @@
-/** Failures of a request that was sent to a peer. */
+/** Errors of requests to a peer. */
 import VError from "verror";
 
-/** The connection to the owner is not there, or was lost. */
+/** There is no connection to the peer, or it was lost during the request. */
 export class PeerLostError extends VError {
-    /** @param sent Whether any of the request may have reached the peer. */
+    /** @param sent Whether the peer may have received any part of the request. */
     constructor(readonly peer: string, readonly sent: boolean) {
         super({ name: "PeerLostError" }, "the connection to %s was lost", peer);
     }
@@ -11,8 +11,8 @@
 
 /** The peer does not own the slot. */
 export class NotOwnerError extends VError {
-    /** @param owner Instance that owns the slot, if it is known. */
+    /** @param owner Instance that owns the slot, if known. */
     constructor(readonly slot: number, readonly owner?: string) {
-        super({ name: "NotOwnerError" }, "slot %d belongs to %s", slot, owner ?? "another instance");
+        super({ name: "NotOwnerError" }, "slot %d is owned by %s", slot, owner ?? "another instance");
     }
 }
--- a/packages/daemon/src/peers/peerLink.ts
+++ b/packages/daemon/src/peers/peerLink.ts
@@ -1,4 +1,4 @@
-/** The outgoing connection to one peer: requests and control messages. */
+/** Outgoing connection to one peer, for requests and control messages. */
 import { asError } from "@marigolddrift/common";
 import type { Logger, Progress } from "@marigolddrift/common";
 import { WebSocket } from "ws";
@@ -9,7 +9,7 @@
 import type { HandshakeKeys } from "./handshake.js";
 import type { Identity } from "./identity.js";
 import { protocolVersion } from "./messages.js";
-import type { Ask, PeerMessage } from "./messages.js";
+import type { ControlRequest, PeerMessage } from "./messages.js";
 import { NotOwnerError, PeerLostError } from "./peerErrors.js";
 import type { TlsFiles } from "./tls.js";
 
@@ -17,27 +17,27 @@
 const maxBackoffMs = 2_000;
 const handshakeTimeoutMs = 2_000;
 
-/** A request whose answer has not ended. */
+/** A request whose response is not complete. */
 interface PendingCall {
     onEvent(event: AnswerEvent): void;
     onLost(err: Error): void;
 }
 
-interface PendingAsk {
+interface PendingControlRequest {
     resolve(value: unknown): void;
     reject(err: Error): void;
 }
 
-/** What a link reports. */
+/** Connection events of a peer link. */
 export interface PeerLinkEvents {
-    onUp(instance: string): void;
-    /** @param refused Whether nothing listens at the address any more. */
-    onDown(refused: boolean): void;
+    onConnected(instance: string): void;
+    /** @param refused Whether the connection was refused, so that nothing listens on the address. */
+    onDisconnected(refused: boolean): void;
 }
 
-/** Keeps one connection to a peer, and opens it again when it is lost. */
+/** Maintains one connection to a peer and reconnects with exponential backoff when it is lost. */
 export class PeerLink {
-    /** Bytes of control messages sent, for measurements. */
+    /** Total bytes of control messages sent. */
     controlBytes = 0;
     private socket: WebSocket | undefined;
     private ready = false;
@@ -48,11 +48,11 @@
     private nextId = 1;
     private outgoing = new FrameCodec();
     private readonly calls = new Map<number, PendingCall>();
-    private readonly asks = new Map<number, PendingAsk>();
+    private readonly controlRequests = new Map<number, PendingControlRequest>();
 
     constructor(
         readonly address: string,
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly keys: HandshakeKeys,
         private readonly tls: TlsFiles | undefined,
         private readonly events: PeerLinkEvents,
@@ -65,7 +65,7 @@
         return this.ready;
     }
 
-    /** Sends a control message if the connection is up. */
+    /** Sends a control message; drops it if the link is not ready. */
     send(message: PeerMessage): void {
         if (this.ready) {
             const bytes = this.outgoing.pack(message);
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Sends a request and yields its answer.
+     * Sends a request and yields the events of its response.
      *
      * @throws NotOwnerError if the peer does not own the slot.
-     * @throws PeerLostError if the connection is lost first.
+     * @throws PeerLostError if the link is not ready or the connection is lost before the response is complete.
      */
     async *call(request: OwnerRequest, progress: Progress): AsyncGenerator<AnswerEvent> {
         if (!this.ready) {
@@ -104,19 +104,19 @@
         }
     }
 
-    /** Sends a question and returns its reply. */
-    async ask(ask: Ask, progress: Progress): Promise<unknown> {
+    /** Sends a control request and returns its reply. */
+    async ask(request: ControlRequest, progress: Progress): Promise<unknown> {
         if (!this.ready) {
             throw new PeerLostError(this.address, false);
         }
         const id = this.nextId++;
         try {
-            const reply = new Promise<unknown>((resolve, reject) => this.asks.set(id, { resolve, reject }));
-            this.send({ type: "ask", id, ask });
+            const reply = new Promise<unknown>((resolve, reject) => this.controlRequests.set(id, { resolve, reject }));
+            this.send({ type: "ask", id, ask: request });
             return await progress.race(reply);
         }
         finally {
-            this.asks.delete(id);
+            this.controlRequests.delete(id);
         }
     }
 
@@ -172,10 +172,14 @@
 
     private answerChallenge(version: number, challenge: string, nonce: string, key: string): void {
         if (version !== protocolVersion) {
-            throw new Error(`the peer speaks version ${version} of the protocol, this instance ${protocolVersion}`);
+            throw new Error(
+                `the peer uses protocol version ${version}; this instance requires version ${protocolVersion}`,
+            );
         }
-        const mac = createMac(key, "connecting", challenge, nonce, this.self.instance);
-        this.socket!.send(this.outgoing.pack({ type: "hello", version: protocolVersion, ...this.self, nonce, mac }));
+        const mac = createMac(key, "connecting", challenge, nonce, this.identity.instance);
+        this.socket!.send(
+            this.outgoing.pack({ type: "hello", version: protocolVersion, ...this.identity, nonce, mac }),
+        );
     }
 
     private onWelcome(
@@ -185,12 +189,12 @@
         key: string,
     ): void {
         if (!macEquals(createMac(key, "accepting", challenge, nonce, message.instance), message.mac)) {
-            throw new Error("the peer did not prove that it has the key");
+            throw new Error("peer authentication failed: the proof does not match the shared key");
         }
         this.ready = true;
         this.backoffMs = minBackoffMs;
         this.attempt = 0;
-        this.events.onUp(message.instance);
+        this.events.onConnected(message.instance);
     }
 
     private onMessage(message: PeerMessage): void {
@@ -201,7 +205,7 @@
             this.calls.get(message.id)?.onLost(new NotOwnerError(-1, message.owner));
         }
         else if (message.type === "reply") {
-            this.asks.get(message.id)?.resolve(message.value);
+            this.controlRequests.get(message.id)?.resolve(message.value);
         }
     }
 
@@ -209,18 +213,18 @@
         this.ready = false;
         const err = new PeerLostError(this.address, true);
         [...this.calls.values()].forEach(call => call.onLost(err));
-        [...this.asks.values()].forEach(ask => ask.reject(err));
+        [...this.controlRequests.values()].forEach(request => request.reject(err));
         if (this.closed) {
             return;
         }
-        this.events.onDown(refused);
+        this.events.onDisconnected(refused);
         this.retryTimer = setTimeout(() => this.connect(), this.backoffMs);
         this.retryTimer.unref();
         this.backoffMs = Math.min(maxBackoffMs, this.backoffMs * 2);
     }
 }
 
-/** Events that wait to be read, and at last an error. */
+/** Queue of received events; after the last event, `next` throws the error that ended the call, if any. */
 class EventQueue implements PendingCall {
     private readonly events: AnswerEvent[] = [];
     private error: Error | undefined;
--- a/packages/daemon/src/peers/peerServer.ts
+++ b/packages/daemon/src/peers/peerServer.ts
@@ -1,4 +1,4 @@
-/** Accepts the connections of peers. */
+/** Server for connections from peers. */
 import { asError, Progress, toProblemError } from "@marigolddrift/common";
 import type { Logger } from "@marigolddrift/common";
 import { createServer } from "node:http";
@@ -10,37 +10,37 @@
 
 import type { AnswerEvent, OwnerRequest } from "../calls.js";
 import { FrameCodec, maxFrameBytes } from "./frames.js";
-import { createMac, createNonce, findKey } from "./handshake.js";
+import { createMac, createNonce, findMatchingKey } from "./handshake.js";
 import type { HandshakeKeys } from "./handshake.js";
 import type { Identity } from "./identity.js";
 import { protocolVersion } from "./messages.js";
-import type { Ask, Heartbeat, Hello, PeerMessage, UpstreamNotice } from "./messages.js";
+import type { ControlRequest, Heartbeat, Hello, PeerMessage, UpstreamNotice } from "./messages.js";
 import { NotOwnerError } from "./peerErrors.js";
 import type { TlsFiles } from "./tls.js";
 
 const handshakeTimeoutMs = 2_000;
 
-/** What the daemon does with the messages of peers. */
+/** Handlers for connections and messages from peers. */
 export interface PeerHandlers {
     onHello(hello: Hello): void;
     onClosed(hello: Hello): void;
     onHeartbeat(hello: Hello, heartbeat: Heartbeat): void;
     onSlots(hello: Hello, version: number, owned: readonly number[]): void;
     onUpstreams(states: readonly UpstreamNotice[]): void;
-    /** Answers a request, or throws NotOwnerError. */
+    /** Yields the response to a request; throws NotOwnerError if this instance does not own the slot. */
     answer(request: OwnerRequest, progress: Progress): AsyncGenerator<AnswerEvent>;
-    onAsk(ask: Ask, progress: Progress): Promise<unknown>;
+    onControlRequest(request: ControlRequest, progress: Progress): Promise<unknown>;
 }
 
-const askTimeoutMs = 30_000;
+const controlRequestTimeoutMs = 30_000;
 
-/** Listens for peers on one port. */
+/** Accepts and authenticates connections from peers on one port. */
 export class PeerServer {
     private readonly server: Server | TlsServer;
     private readonly sockets: WebSocketServer;
 
     constructor(
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly keys: HandshakeKeys,
         private readonly tls: TlsFiles | undefined,
         private readonly handlers: PeerHandlers,
@@ -53,7 +53,7 @@
             maxPayload: maxFrameBytes,
             perMessageDeflate: false,
         });
-        this.sockets.on("connection", socket => new PeerSession(socket, self, keys, handlers, log));
+        this.sockets.on("connection", socket => new PeerSession(socket, identity, keys, handlers, log));
     }
 
     async listen(host: string, port: number): Promise<number> {
@@ -64,7 +64,7 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Uses the certificate files as they are now. */
+    /** Reloads the certificate files; open connections are not affected. */
     reloadTls(): void {
         this.tls?.reload(this.server as TlsServer);
     }
@@ -77,7 +77,7 @@
     }
 }
 
-/** One accepted connection. */
+/** One accepted connection, which is authenticated before any other message is handled. */
 class PeerSession {
     private hello: Hello | undefined;
     private readonly nonce = createNonce();
@@ -88,7 +88,7 @@
 
     constructor(
         private readonly socket: WebSocket,
-        private readonly self: Identity,
+        private readonly identity: Identity,
         private readonly keys: HandshakeKeys,
         private readonly handlers: PeerHandlers,
         private readonly log: Logger,
@@ -122,17 +122,18 @@
 
     private authenticate(message: PeerMessage): void {
         if (message.type !== "hello" || message.version !== protocolVersion) {
-            throw new Error("the first message is not a hello of this protocol version");
+            throw new Error("the first message is not a hello with the supported protocol version");
         }
-        const make = (key: string): string => createMac(key, "connecting", this.nonce, message.nonce, message.instance);
-        const key = findKey(this.keys, message.mac, make);
+        const computeMac = (key: string): string =>
+            createMac(key, "connecting", this.nonce, message.nonce, message.instance);
+        const key = findMatchingKey(this.keys, message.mac, computeMac);
         if (key === undefined) {
-            throw new Error("the peer did not prove that it has the key");
+            throw new Error("peer authentication failed: the proof does not match the shared key");
         }
         this.hello = message;
         clearTimeout(this.timer);
-        const mac = createMac(key, "accepting", this.nonce, message.nonce, this.self.instance);
-        this.send({ type: "welcome", instance: this.self.instance, mac });
+        const mac = createMac(key, "accepting", this.nonce, message.nonce, this.identity.instance);
+        this.send({ type: "welcome", instance: this.identity.instance, mac });
         this.handlers.onHello(message);
     }
 
@@ -153,7 +154,7 @@
             this.calls.get(message.id)?.abort(new Error("the peer cancelled the request"));
         }
         else if (message.type === "ask") {
-            void this.onAsk(message.id, message.ask);
+            void this.onControlRequest(message.id, message.ask);
         }
         else {
             throw new Error(`a connecting peer must not send "${message.type}"`);
@@ -191,13 +192,13 @@
         }
     }
 
-    private async onAsk(id: number, ask: Ask): Promise<void> {
-        const progress = new Progress(askTimeoutMs);
+    private async onControlRequest(id: number, request: ControlRequest): Promise<void> {
+        const progress = new Progress(controlRequestTimeoutMs);
         try {
-            this.send({ type: "reply", id, value: await this.handlers.onAsk(ask, progress) });
+            this.send({ type: "reply", id, value: await this.handlers.onControlRequest(request, progress) });
         }
         catch (err) {
-            this.log.warn("peer question failed", { kind: ask.kind, error: asError(err).message });
+            this.log.warn("peer question failed", { kind: request.kind, error: asError(err).message });
             this.send({ type: "reply", id, value: undefined });
         }
         finally {
--- a/packages/daemon/src/peers/tls.ts
+++ b/packages/daemon/src/peers/tls.ts
@@ -1,9 +1,12 @@
-/** TLS between daemons, from files that are read again at each connection, so that keys rotate without a restart. */
+/**
+ * TLS between daemons. Clients read the certificate files for each connection and servers on each reload, so that keys
+ * can be rotated without a restart.
+ */
 import { readFileSync } from "node:fs";
 import { createServer } from "node:https";
 import type { Server } from "node:https";
 
-/** Options of an outgoing connection. */
+/** TLS options of an outgoing connection. */
 export interface TlsClientOptions {
     readonly ca?: Buffer;
     readonly cert: Buffer;
@@ -12,7 +15,7 @@
     readonly checkServerIdentity: () => boolean;
 }
 
-/** Certificate, key and authority of this instance. */
+/** Certificate, key and certificate authority of this instance. */
 export class TlsFiles {
     constructor(
         private readonly files: { readonly cert: string; readonly key: string; readonly ca?: string | undefined; },
@@ -22,12 +25,12 @@
         return { ...this.read(), rejectUnauthorized: true, checkServerIdentity: () => true };
     }
 
-    /** Creates a server that demands a certificate of the same authority. */
+    /** Creates a server that requires a client certificate from the same certificate authority. */
     createServer(): Server {
         return createServer({ ...this.read(), requestCert: true, rejectUnauthorized: true });
     }
 
-    /** Lets a running server use the files as they are now. */
+    /** Reloads the certificate files of a running server. */
     reload(server: Server): void {
         server.setSecureContext(this.read());
     }
--- a/packages/daemon/src/upstreams/engineClient.ts
+++ b/packages/daemon/src/upstreams/engineClient.ts
@@ -1,4 +1,4 @@
-/** Client of a model engine: OpenAI-style completions, load, cache and admin orders. */
+/** Client of a model engine: OpenAI-compatible completions, load reports, cache events and admin orders. */
 import type { Message, Progress } from "@marigolddrift/common";
 import { createParser } from "eventsource-parser";
 import { request } from "undici";
@@ -45,7 +45,7 @@
 
 const heldReplySchema = z.object({ keys: z.array(z.string()) });
 
-/** A call to an engine. */
+/** A completion request to an engine. */
 export interface EngineRequest {
     readonly id: string;
     readonly program: string;
@@ -53,21 +53,21 @@
     readonly messages: readonly Message[];
     readonly maxTokens: number;
     readonly priority: number;
-    /** Text with which the answer begins already. */
+    /** Text already generated, which the engine continues; empty for a new answer. */
     readonly resumeText: string;
     readonly options: Readonly<Record<string, unknown>>;
-    /** Longest wait for the first token, in milliseconds. */
-    readonly firstTokenMs: number;
-    /** Longest wait between tokens, in milliseconds. */
+    /** Maximum wait for the first token. */
+    readonly firstTokenTimeoutMs: number;
+    /** Maximum wait between two chunks of the stream. */
     readonly stallMs: number;
 }
 
-/** Part of an engine's answer. */
+/** Event of a streamed completion. */
 export type EngineEvent =
     | { readonly kind: "delta"; readonly text: string; }
     | { readonly kind: "finish"; readonly reason: string; readonly usage: Usage | undefined; };
 
-/** An order to an engine. */
+/** An admin order to an engine. */
 export interface EngineOrder {
     readonly order: "loadModel" | "unloadModel" | "loadAdapter" | "changeRole";
     readonly model?: string;
@@ -84,15 +84,15 @@
     /**
      * Streams a completion.
      *
-     * @throws UpstreamError with the verdict of the call.
+     * @throws UpstreamError whose verdict tells whether the call may have run.
      */
     async *complete(worker: string, req: EngineRequest, progress: Progress): AsyncGenerator<EngineEvent> {
         const abort = new AbortController();
         const stop = (): void => abort.abort(progress.signal.reason);
         progress.signal.addEventListener("abort", stop, { once: true });
-        const watchdog = new Watchdog(() => abort.abort(new Error("the engine stopped making progress")));
+        const watchdog = new Watchdog(() => abort.abort(new Error("the engine sent no data within the time limit")));
         try {
-            watchdog.set(req.firstTokenMs);
+            watchdog.restart(req.firstTokenTimeoutMs);
             const res = await request(`http://${worker}/v1/chat/completions`, {
                 method: "POST",
                 headers: { "content-type": "application/json", "x-request-id": req.id },
@@ -113,7 +113,7 @@
                     `status ${res.statusCode}: ${detail}`,
                 );
             }
-            yield* readEvents(res.body, worker, () => watchdog.set(req.stallMs));
+            yield* readEvents(res.body, worker, () => watchdog.restart(req.stallMs));
         }
         catch (err) {
             throw toUpstreamError(err, worker);
@@ -135,8 +135,8 @@
         ).events;
     }
 
-    /** Programs whose prefixes the engine holds. */
-    async held(worker: string, progress: Progress): Promise<string[]> {
+    /** Lists the programs whose prompt prefixes the engine holds in memory. */
+    async heldPrograms(worker: string, progress: Progress): Promise<string[]> {
         return heldReplySchema.parse(await this.json("GET", worker, "/admin/held", undefined, progress)).keys;
     }
 
@@ -191,7 +191,7 @@
     ...(req.resumeText === "" ? {} : { continue_final_message: true, add_generation_prompt: false }),
 });
 
-/** Parses server-sent events up to the end marker; a stream without it was cut. */
+/** Parses server-sent events up to the `[DONE]` marker; a stream that closes without the marker is truncated. */
 async function* readEvents(
     body: AsyncIterable<Buffer>,
     worker: string,
@@ -217,16 +217,16 @@
         },
     });
     const decoder = new TextDecoder();
-    for await (const part of body) {
+    for await (const chunk of body) {
         onProgress();
-        parser.feed(decoder.decode(part, { stream: true }));
+        parser.feed(decoder.decode(chunk, { stream: true }));
         yield* ready.splice(0);
         if (done) {
             yield { kind: "finish", reason: reason || "stop", usage };
             return;
         }
     }
-    throw new UpstreamError("mayHaveRun", worker, "the stream was cut before its end");
+    throw new UpstreamError("mayHaveRun", worker, "the stream closed before its end marker");
 }
 
 const toUsage = (usage: NonNullable<z.infer<typeof chunkSchema>["usage"]>): Usage => ({
@@ -235,15 +235,15 @@
     cachedTokens: usage.prompt_tokens_details?.cached_tokens ?? 0,
 });
 
-/** Calls back when nothing happened for a time. */
+/** Timer that calls back unless it is restarted or cleared in time. */
 class Watchdog {
     private timer: NodeJS.Timeout | undefined;
 
-    constructor(private readonly action: () => void) {}
+    constructor(private readonly onTimeout: () => void) {}
 
-    set(ms: number): void {
+    restart(ms: number): void {
         clearTimeout(this.timer);
-        this.timer = setTimeout(this.action, ms);
+        this.timer = setTimeout(this.onTimeout, ms);
     }
 
     clear(): void {
--- a/packages/daemon/src/upstreams/serviceClient.ts
+++ b/packages/daemon/src/upstreams/serviceClient.ts
@@ -1,4 +1,4 @@
-/** Client of tools and plain services. */
+/** Client of tools and other HTTP services. */
 import type { Progress } from "@marigolddrift/common";
 import { request } from "undici";
 import type { Agent } from "undici";
@@ -8,7 +8,7 @@
 
 const maxReplyBytes = 8 * 1024 * 1024;
 
-/** A service's answer. */
+/** Response of a service. */
 export interface ServiceReply {
     readonly status: number;
     readonly contentType: string;
@@ -20,9 +20,9 @@
     constructor(private readonly agent: Agent, private readonly onLeaving: (upstream: string) => void) {}
 
     /**
-     * Sends one request, once.
+     * Sends a request once, without retries.
      *
-     * @throws UpstreamError with the verdict of the call.
+     * @throws UpstreamError whose verdict tells whether the call may have run.
      */
     async call(upstream: string, req: ServiceRequest, progress: Progress): Promise<ServiceReply> {
         try {
@@ -55,7 +55,7 @@
     for await (const chunk of body) {
         size += chunk.length;
         if (size > maxReplyBytes) {
-            throw new Error(`the answer exceeds ${maxReplyBytes} bytes`);
+            throw new Error(`the response body exceeds ${maxReplyBytes} bytes`);
         }
         chunks.push(chunk);
     }
--- a/packages/gateway/src/peers/relayStore.ts
+++ b/packages/gateway/src/peers/relayStore.ts
@@ -180,7 +180,7 @@
 
 /** Answers that another way to the store would not change. */
 const isFinal = (err: unknown): boolean =>
-    err instanceof HistoryGoneError || (err instanceof StoreRefusalError && !err.isBusy);
+    err instanceof HistoryGoneError || (err instanceof StoreRefusalError && !err.isRetryable);
 
 const ask =
     <K extends PeerQuestion["kind"]>(question: Extract<PeerQuestion, { kind: K; }>): AskPeer => (peer, progress) =>
--- a/packages/gateway/src/state/groupWriter.ts
+++ b/packages/gateway/src/state/groupWriter.ts
@@ -205,7 +205,7 @@
 
     private onFailed(group: readonly Entry[], err: Error): void {
         const open = group.filter(({ settled }) => !settled);
-        if (err instanceof StoreRefusalError && !err.isBusy) {
+        if (err instanceof StoreRefusalError && !err.isRetryable) {
             this.onNotAcceptable(open, err);
             return;
         }
--- a/packages/store/src/bundleChain.ts
+++ b/packages/store/src/bundleChain.ts
@@ -1,4 +1,7 @@
-/** The chain of bundle versions in the store: each step is a compare-and-swap, and a lost reply is settled by a nonce. */
+/**
+ * The chain of bundle versions in the store. Each update is a compare-and-swap; if its reply is lost, the nonce in the
+ * stored value shows whether the write was applied.
+ */
 import { bundleDocumentSchema, digest, rolloutSchema } from "@marigolddrift/common";
 import type { BundleDocument, Progress, Rollout } from "@marigolddrift/common";
 import { randomBytes } from "node:crypto";
@@ -7,45 +10,45 @@
 import { StoreError } from "./store.js";
 import type { Store, StoredValue } from "./store.js";
 
-/** Prefix of all keys of the chain. */
+/** Prefix of all bundle keys in the store. */
 export const bundlePrefix = "/marigolddrift/bundle/";
 export const rolloutKey = `${bundlePrefix}rollout`;
 const versionsPrefix = `${bundlePrefix}versions/`;
 const versionDigits = 8;
 
-/** Key of a version. */
+/** Key under which a version is stored; zero-padded so that keys sort by version. */
 export const versionKey = (version: number): string =>
     `${versionsPrefix}${String(version).padStart(versionDigits, "0")}`;
 
-/** Another operator was faster, or a step is not allowed in the present state. */
+/** A concurrent update by another operator, or an update that the current state does not allow. */
 export class BundleConflictError extends VError {
     constructor(detail: string) {
         super({ name: "BundleConflictError" }, "%s", detail);
     }
 }
 
-/** A value with the revision that the next compare-and-swap must name. */
-export interface Versioned<T> {
+/** A value with its store revision, which the next compare-and-swap must expect. */
+export interface WithRevision<T> {
     readonly value: T;
     readonly revision: number;
 }
 
 const retryMs = 200;
 
-/** Reads and writes the chain. */
+/** Reads and updates the chain. */
 export class BundleChain {
     constructor(private readonly store: Store) {}
 
-    async versions(progress: Progress): Promise<Versioned<BundleDocument>[]> {
+    async versions(progress: Progress): Promise<WithRevision<BundleDocument>[]> {
         return (await this.store.range(versionsPrefix, progress)).values.map(parseDocument);
     }
 
-    async version(version: number, progress: Progress): Promise<Versioned<BundleDocument> | undefined> {
+    async version(version: number, progress: Progress): Promise<WithRevision<BundleDocument> | undefined> {
         const stored = await this.store.get(versionKey(version), progress);
         return stored === undefined ? undefined : parseDocument(stored);
     }
 
-    async rollout(progress: Progress): Promise<Versioned<Rollout> | undefined> {
+    async rollout(progress: Progress): Promise<WithRevision<Rollout> | undefined> {
         const stored = await this.store.get(rolloutKey, progress);
         return stored === undefined ? undefined : { value: parseRollout(stored), revision: stored.revision };
     }
@@ -53,77 +56,81 @@
     /**
      * Adds the next version.
      *
-     * @throws BundleConflictError naming who proposed that version first.
+     * @throws BundleConflictError if `version` is not the next one; the message names the latest proposer.
      */
     async propose(text: string, version: number, proposer: string, progress: Progress): Promise<BundleDocument> {
         const versions = await this.versions(progress);
-        const former = versions.at(-1)?.value;
-        const next = (former?.version ?? 0) + 1;
+        const previous = versions.at(-1)?.value;
+        const next = (previous?.version ?? 0) + 1;
         if (version !== next) {
-            const by = former === undefined ? "" : `; ${former.proposer} proposed version ${former.version}`;
+            const by = previous === undefined ? "" : `; ${previous.proposer} proposed version ${previous.version}`;
             throw new BundleConflictError(
                 `The next version is ${next}, not ${version}${by}. Rebase on the newest version.`,
             );
         }
         const doc: BundleDocument = {
             version,
-            parent: former === undefined ? "" : digest(former.text),
+            parent: previous === undefined ? "" : digest(previous.text),
             text,
             proposer,
             proposedAt: new Date().toISOString(),
             reviews: [],
             nonce: newNonce(),
         };
-        await this.swap(versionKey(version), 0, doc, progress);
+        await this.compareAndSwap(versionKey(version), 0, doc, progress);
         return doc;
     }
 
-    /** Replaces a version by one with another review or sign-off. */
-    async update(former: Versioned<BundleDocument>, doc: BundleDocument, progress: Progress): Promise<BundleDocument> {
+    /** Updates a version, for example to add a review or a sign-off. */
+    async update(
+        previous: WithRevision<BundleDocument>,
+        doc: BundleDocument,
+        progress: Progress,
+    ): Promise<BundleDocument> {
         const next = { ...doc, nonce: newNonce() };
-        await this.swap(versionKey(doc.version), former.revision, next, progress);
+        await this.compareAndSwap(versionKey(doc.version), previous.revision, next, progress);
         return next;
     }
 
-    /** Replaces the state of the rollout; it never goes to an older version. */
-    async roll(
-        former: Versioned<Rollout> | undefined,
+    /** Updates the rollout state; rolling out an older version is a conflict. */
+    async updateRollout(
+        previous: WithRevision<Rollout> | undefined,
         rollout: Omit<Rollout, "nonce">,
         progress: Progress,
     ): Promise<Rollout> {
-        if (former !== undefined && rollout.version < former.value.version) {
+        if (previous !== undefined && rollout.version < previous.value.version) {
             throw new BundleConflictError(
-                `Version ${former.value.version} is rolled out; undo a change by a newer version.`,
+                `Version ${previous.value.version} is already rolled out; undo a change by proposing a newer version.`,
             );
         }
         const next = { ...rollout, nonce: newNonce() };
-        await this.swap(rolloutKey, former?.revision ?? 0, next, progress);
+        await this.compareAndSwap(rolloutKey, previous?.revision ?? 0, next, progress);
         return next;
     }
 
-    /** Writes a value; after a lost reply it reads back until it knows whether the write was applied. */
-    private async swap(
+    /** Writes a value; if the reply is lost, reads the key back until it is known whether the write was applied. */
+    private async compareAndSwap(
         key: string,
         revision: number,
         value: { readonly nonce: string; },
         progress: Progress,
     ): Promise<void> {
         for (;;) {
-            const applied = await this.trySwap(key, revision, value, progress);
-            const current = await this.settle(key, progress, applied);
+            const applied = await this.tryCompareAndSwap(key, revision, value, progress);
+            const current = await this.readBackUnlessApplied(key, progress, applied);
             if (applied === true || nonceOf(current) === value.nonce) {
                 return;
             }
             if ((current?.revision ?? 0) !== revision) {
                 throw new BundleConflictError(
-                    `${describeWinner(current)} was faster. Look at its change, then try again.`,
+                    `${describeConcurrentWriter(current)} updated this key first. Look at that update, then try again.`,
                 );
             }
             await progress.sleep(retryMs);
         }
     }
 
-    private async trySwap(
+    private async tryCompareAndSwap(
         key: string,
         revision: number,
         value: object,
@@ -142,7 +149,7 @@
         }
     }
 
-    private async settle(
+    private async readBackUnlessApplied(
         key: string,
         progress: Progress,
         applied: boolean | "unknown",
@@ -167,7 +174,7 @@
 const nonceOf = (stored: StoredValue | undefined): string | undefined =>
     stored === undefined ? undefined : (JSON.parse(stored.value.toString()) as { nonce?: string; }).nonce;
 
-const describeWinner = (stored: StoredValue | undefined): string => {
+const describeConcurrentWriter = (stored: StoredValue | undefined): string => {
     if (stored === undefined) {
         return "Another operator";
     }
@@ -180,10 +187,10 @@
     return `Operator ${by}, with version ${parsed.data.version},`;
 };
 
-const parseDocument = (stored: StoredValue): Versioned<BundleDocument> => ({
+const parseDocument = (stored: StoredValue): WithRevision<BundleDocument> => ({
     value: bundleDocumentSchema.parse(JSON.parse(stored.value.toString())),
     revision: stored.revision,
 });
 
-/** Parses the stored state of the rollout. */
+/** Parses the stored rollout state. */
 export const parseRollout = (stored: StoredValue): Rollout => rolloutSchema.parse(JSON.parse(stored.value.toString()));
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** The key-value service, and the clients of its etcd gateway and of the instance list. */
+/** Interface of the key-value store, and clients of its etcd gateway and of the instance list. */
 export * from "./bundleChain.js";
 export * from "./instanceList.js";
 export * from "./store.js";
--- a/packages/store/src/instanceList.ts
+++ b/packages/store/src/instanceList.ts
@@ -1,9 +1,9 @@
-/** Client of the platform's lagging list of instances. */
+/** Client of the platform's instance list, which is eventually consistent. */
 import type { Progress } from "@marigolddrift/common";
 import { Agent, request } from "undici";
 import { z } from "zod";
 
-const listedSchema = z.object({
+const instanceSchema = z.object({
     id: z.string(),
     kind: z.enum(["daemon", "upstream"]),
     address: z.string(),
@@ -11,19 +11,19 @@
     region: z.string(),
     state: z.enum(["live", "leaving"]),
 });
-const replySchema = z.object({ instances: z.array(listedSchema) });
+const listReplySchema = z.object({ instances: z.array(instanceSchema) });
 
 /** An instance on the platform's list. */
-export type ListedInstance = z.infer<typeof listedSchema>;
+export type ListedInstance = z.infer<typeof instanceSchema>;
 
-/** What the daemon needs of the platform's list. */
+/** Read access to the platform's instance list. */
 export interface InstanceList {
     read(progress: Progress): Promise<ListedInstance[]>;
 }
 
 const connectTimeoutMs = 1_000;
 
-/** Reads the list over HTTP. */
+/** Reads the instance list over HTTP. */
 export class HttpInstanceList implements InstanceList {
     private readonly agent = new Agent({ connect: { timeout: connectTimeoutMs }, connections: 1 });
 
@@ -34,7 +34,7 @@
             dispatcher: this.agent,
             signal: progress.signal,
         });
-        return replySchema.parse(await res.body.json()).instances;
+        return listReplySchema.parse(await res.body.json()).instances;
     }
 
     async close(): Promise<void> {
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,4 +1,4 @@
-/** What the project needs of a platform's key-value service, whichever protocol it speaks. */
+/** Protocol-independent interface of a platform's key-value store. */
 import type { Progress } from "@marigolddrift/common";
 import VError from "verror";
 
@@ -9,30 +9,30 @@
     readonly revision: number;
 }
 
-/** All values below a prefix, and the store's revision from which to follow their changes. */
+/** All values under a prefix, and the store revision from which to read later changes. */
 export interface Snapshot {
     readonly values: readonly StoredValue[];
     readonly revision: number;
 }
 
-/** A change of one key: its new value, or its removal. */
+/** A change of one key: a put or a removal. */
 export type StoreChange =
     | { readonly kind: "put"; readonly stored: StoredValue; }
     | { readonly kind: "removed"; readonly key: string; readonly revision: number; };
 
-/** Changes in order, and the revision up to which they are complete. */
+/** Changes in revision order; the batch holds every change up to `revision`. */
 export interface ChangeBatch {
     readonly changes: readonly StoreChange[];
     readonly revision: number;
 }
 
-/** A condition of a transaction: the revision of a key, 0 meaning that it does not exist. */
+/** A transaction condition: the expected revision of a key, or 0 if the key must not exist. */
 export interface Compare {
     readonly key: string;
     readonly revision: number;
 }
 
-/** A change made by a transaction. */
+/** A write of one key in a transaction, optionally attached to a lease. */
 export interface Put {
     readonly key: string;
     readonly value: Buffer;
@@ -43,50 +43,50 @@
 export interface TxnResult {
     readonly succeeded: boolean;
     readonly revision: number;
-    /** Present values of the compared keys, if a condition failed and the store returned them. */
+    /** Current values of the compared keys, if a condition failed and the store returned them. */
     readonly current?: readonly StoredValue[];
 }
 
-/** A call to the store that failed; `applied` says whether it may have taken effect. */
+/** A failed call to the store; `applied` tells whether it may still have taken effect. */
 export class StoreError extends VError {
     constructor(readonly applied: "no" | "unknown", detail: string, cause?: Error) {
         super({ name: "StoreError", ...(cause ? { cause } : {}) }, "%s", detail);
     }
 }
 
-/** The store answered that it will not do a call: it is busy, or the call is not acceptable. */
+/** The store rejected a call, because it is overloaded or because the call is invalid. */
 export class StoreRefusalError extends StoreError {
     constructor(call: string, readonly status: number) {
         super("no", `the store refused ${call} with ${status}`);
     }
 
-    /** Whether the same call may be accepted later. */
-    get isBusy(): boolean {
+    /** Whether the same call may succeed later: the status is 429 or 5xx. */
+    get isRetryable(): boolean {
         return this.status === 429 || this.status >= 500;
     }
 }
 
-/** The store no longer has the changes that were asked for: a new snapshot is needed. */
+/** The store has compacted the requested changes; the reader must load a new snapshot. */
 export class HistoryGoneError extends VError {
     constructor(revision: number) {
-        super({ name: "HistoryGoneError" }, "the store dropped its history after revision %d", revision);
+        super({ name: "HistoryGoneError" }, "the store no longer has the change history after revision %d", revision);
     }
 }
 
-/** How exact a snapshot must be. */
+/** Options for reading a snapshot. */
 export interface RangeOptions {
-    /** Whether values may be seconds old, which costs the store less. */
+    /** Allows values that are some seconds old; such reads cost the store less. */
     readonly mayBeStale?: boolean;
-    /** Called for each part of the answer that arrives, so that a long answer is not taken for silence. */
+    /** Called for each chunk of the response, so that a long response does not count as an idle connection. */
     readonly onBytes?: () => void;
 }
 
-/** Values under conditions, and their changes. */
+/** A key-value store with conditional writes and a change history. */
 export interface VersionedStore {
     get(key: string, progress: Progress): Promise<StoredValue | undefined>;
     range(prefix: string, progress: Progress, options?: RangeOptions): Promise<Snapshot>;
     /**
-     * Waits for changes below a prefix; the batch is empty if there were none in `waitMs`.
+     * Long-polls for changes under a prefix; the batch is empty if none arrive within `waitMs`.
      *
      * @throws HistoryGoneError if the changes after `revision` are no longer available.
      */
@@ -103,17 +103,17 @@
 /** A versioned store with leases and long-lived watches. */
 export interface Store extends VersionedStore {
     grantLease(ttlSeconds: number, progress: Progress): Promise<string>;
-    /** Returns false if the lease has lapsed. */
+    /** Renews a lease; returns false if it has expired. */
     keepAlive(lease: string, progress: Progress): Promise<boolean>;
     revokeLease(lease: string, progress: Progress): Promise<void>;
-    /** Calls back for each change below a prefix, until the signal aborts; reconnects by itself. */
+    /** Calls `onChange` for each put under a prefix until the signal aborts. */
     watch(prefix: string, onChange: (value: StoredValue) => void, signal: AbortSignal): Promise<void>;
 }
 
 const notSentCodes = new Set(["ECONNREFUSED", "ENOTFOUND", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** Whether a call that ended with a connection error may have taken effect. */
-export const mayHaveApplied = (err: unknown): "no" | "unknown" => {
+/** Classifies a transport error: `no` if the request was certainly not sent, otherwise `unknown`. */
+export const appliedStatus = (err: unknown): "no" | "unknown" => {
     const code = (err as { code?: string; }).code ?? "";
     return notSentCodes.has(code) ? "no" : "unknown";
 };
--- a/packages/store/src/storeClient.ts
+++ b/packages/store/src/storeClient.ts
@@ -1,10 +1,10 @@
-/** Client of the key-value service: the JSON gateway of etcd v3. */
+/** Client of a key-value store that speaks the JSON gateway protocol of etcd v3. */
 import { asError } from "@marigolddrift/common";
 import type { Progress } from "@marigolddrift/common";
 import { Agent, request } from "undici";
 import { z } from "zod";
 
-import { HistoryGoneError, mayHaveApplied, StoreError, StoreRefusalError } from "./store.js";
+import { appliedStatus, HistoryGoneError, StoreError, StoreRefusalError } from "./store.js";
 import type { ChangeBatch, Compare, Put, Snapshot, Store, StoreChange, StoredValue, TxnResult } from "./store.js";
 
 const int64 = z.string().transform(Number);
@@ -31,13 +31,13 @@
 const encode = (text: string): string => Buffer.from(text).toString("base64");
 const decode = (text: string): string => Buffer.from(text, "base64").toString();
 
-/** End of the range of keys with a prefix. */
+/** Exclusive end of the key range with the given prefix. */
 const prefixEnd = (prefix: string): string =>
     prefix.slice(0, -1) + String.fromCharCode(prefix.charCodeAt(prefix.length - 1) + 1);
 
 const connectTimeoutMs = 1_000;
 
-/** Calls the store over HTTP. */
+/** Calls the etcd gateway over HTTP. */
 export class StoreClient implements Store {
     readonly calls: Record<string, number> = {};
     private readonly agent = new Agent({ connect: { timeout: connectTimeoutMs }, connections: 4, pipelining: 1 });
@@ -127,13 +127,17 @@
         await this.agent.destroy();
     }
 
-    /** Messages of one watch; a start of 0 means from now on. */
-    private async *watchReplies(prefix: string, start: number, signal: AbortSignal): AsyncGenerator<WatchReply> {
+    /** Streams the messages of one watch; `startRevision` 0 means the current revision. */
+    private async *watchReplies(
+        prefix: string,
+        startRevision: number,
+        signal: AbortSignal,
+    ): AsyncGenerator<WatchReply> {
         this.count("watch");
         const create = {
             key: encode(prefix),
             range_end: encode(prefixEnd(prefix)),
-            ...(start === 0 ? {} : { start_revision: String(start) }),
+            ...(startRevision === 0 ? {} : { start_revision: String(startRevision) }),
         };
         const res = await request(`http://${this.address}/v3/watch`, {
             method: "POST",
@@ -142,10 +146,10 @@
             signal,
             bodyTimeout: 0,
         });
-        let rest = "";
+        let partialLine = "";
         for await (const chunk of res.body) {
-            const lines = (rest + String(chunk)).split("\n");
-            rest = lines.pop() ?? "";
+            const lines = (partialLine + String(chunk)).split("\n");
+            partialLine = lines.pop() ?? "";
             for (const line of lines.filter(text => text !== "")) {
                 yield watchReplySchema.parse(JSON.parse(line)).result;
             }
@@ -174,7 +178,7 @@
             reply = await res.body.json();
         }
         catch (err) {
-            throw new StoreError(mayHaveApplied(err), `the store did not answer ${path}`, asError(err));
+            throw new StoreError(appliedStatus(err), `the store did not answer ${path}`, asError(err));
         }
         if (status !== 200) {
             throw new StoreRefusalError(`${path}: ${JSON.stringify(reply)}`, status);
--- a/tests/configuration/bundleChain.test.ts
+++ b/tests/configuration/bundleChain.test.ts
@@ -93,9 +93,9 @@
     it("should refuse to roll out an older version", async () => {
         const chain = new BundleChain(new FakeStore());
         await withProgress(async progress => {
-            await chain.roll(undefined, { version: 5, regions: [] }, progress);
+            await chain.updateRollout(undefined, { version: 5, regions: [] }, progress);
             const current = await chain.rollout(progress);
-            await expect(chain.roll(current, { version: 4, regions: [] }, progress)).toBeRejectedWith(
+            await expect(chain.updateRollout(current, { version: 4, regions: [] }, progress)).toBeRejectedWith(
                 BundleConflictError,
             );
         });
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -1,4 +1,4 @@
-/** A key-value service in memory, whose faults tests set call by call. */
+/** An in-memory fake of the key-value store with fault injection. */
 import type { Progress } from "@marigolddrift/common";
 import { KeyValueState } from "@marigolddrift/standins";
 import type { KeyEvent, KeyValue } from "@marigolddrift/standins";
@@ -21,14 +21,14 @@
         { kind: "put", stored: toStored(kv) } :
         { kind: "removed", key: kv.key, revision: kv.modRevision };
 
-/** What happens to the next calls. */
+/** Fault that is injected into the next calls. */
 export type StoreFault = "none" | "down" | "loseReply";
 
-/** A store without a network. */
+/** Store in the test's process. */
 export class FakeStore implements Store {
     readonly state = new KeyValueState();
     fault: StoreFault = "none";
-    /** Number of calls after which the fault ends. */
+    /** Number of calls that still get the fault. */
     faultsLeft = Infinity;
     writes = 0;
     reads = 0;
--- a/tests/gateway/journal.test.ts
+++ b/tests/gateway/journal.test.ts
@@ -8,7 +8,7 @@
 import { describe, it } from "node:test";
 
 import { FakeStore } from "../fakeStore.js";
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const withDir = async (test: (dir: string) => Promise<void>): Promise<void> => {
     const dir = await mkdtemp(join(tmpdir(), "journal-"));
@@ -95,7 +95,7 @@
         withMachine(async (machine, store) => {
             await Promise.all(Array.from({ length: 100 }, (_, index) => machine.keep(`t${index}`, 0)));
             expect(store.writes).toEqual(0);
-            await until(() => machine.journal.waiting === 0);
+            await waitUntil(() => machine.journal.waiting === 0);
             expect(store.writes).toSatisfy(calls => calls <= 5);
             expect(machine.told.flat().length).toEqual(100);
             expect(store.state.get("marigolddrift/turns/t99")?.value).toEqual(packTurn(turnOf("t99")));
@@ -106,7 +106,7 @@
             await machine.keep("told", 1);
             await machine.keep("untold", 1);
             machine.journal.onPeerFlushed(["told"]);
-            await until(() => machine.journal.waiting === 0);
+            await waitUntil(() => machine.journal.waiting === 0);
             expect([store.state.get("marigolddrift/turns/told"), store.writes]).toEqual([undefined, 1]);
             expect(machine.journal.find("told").record).not.toEqual(undefined);
         }));
@@ -120,7 +120,7 @@
             await restarted.journal.start(() => 0);
             expect(restarted.journal.find("t1").record).toEqual(packTurn(turnOf("t1")));
             store.fault = "none";
-            await until(() => restarted.journal.waiting === 0);
+            await waitUntil(() => restarted.journal.waiting === 0);
             expect(store.state.get("marigolddrift/turns/t1")).not.toEqual(undefined);
             await restarted.close();
         }));
@@ -128,14 +128,14 @@
     it("should leave no segments on the disk that hold nothing of use", () =>
         withMachine(async (machine, store, dir) => {
             await machine.keep("t1", 0);
-            await until(() => machine.journal.waiting === 0);
+            await waitUntil(() => machine.journal.waiting === 0);
             await machine.journal.close();
             const logs = async () => (await readdir(dir)).filter(name => name.endsWith(".log")).length;
             for (let restart = 0; restart < 3; restart++) {
                 const restarted = new Machine(dir, store);
                 await restarted.journal.start(() => 0);
                 await restarted.keep(`r${restart}`, 0);
-                await until(() => restarted.journal.waiting === 0);
+                await waitUntil(() => restarted.journal.waiting === 0);
                 await restarted.close();
             }
             expect(await logs()).toEqual(1);
--- a/tests/gateway/peerClient.test.ts
+++ b/tests/gateway/peerClient.test.ts
@@ -6,7 +6,7 @@
 import type { AddressInfo } from "node:net";
 import { describe, it } from "node:test";
 
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const key = () => "shared";
 
@@ -77,7 +77,7 @@
             const viaLate = new PeerClient({ ...client.address, port: (late.address() as AddressInfo).port }, key);
             try {
                 await expect(viaLate.ask(question, new Progress(300))).toBeRejected();
-                await until(() => viaLate.isUsable && viaLate.isConnected);
+                await waitUntil(() => viaLate.isUsable && viaLate.isConnected);
                 expect(await viaLate.ask(question, new Progress(1_000)) as unknown).toEqual("value");
             }
             finally {
--- a/tests/gateway/peers.test.ts
+++ b/tests/gateway/peers.test.ts
@@ -5,7 +5,7 @@
 import { describe, it } from "node:test";
 
 import { FakeStore } from "../fakeStore.js";
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const address = (instance: string, zone: string, keepsTurns: boolean): PeerAddress => ({
     instance,
@@ -40,11 +40,11 @@
         const peers = new Peers("front", () => address("front", "north-a", false), store, silentLogger);
         peers.start();
         try {
-            await until(() => peers.key !== undefined);
+            await waitUntil(() => peers.key !== undefined);
             key.value = peers.key!;
             const connected = (): string[] =>
                 others.map(({ instance }) => instance).filter(instance => peers.get(instance)?.isConnected === true);
-            await until(() => connected().length === 3);
+            await waitUntil(() => connected().length === 3);
             await new Promise(resolve => setTimeout(resolve, 500));
             expect(connected()).toEqual(["journal-near", "journal-far", "front-near"]);
         }
--- a/tests/gateway/regionReads.test.ts
+++ b/tests/gateway/regionReads.test.ts
@@ -8,7 +8,7 @@
 import { describe, it } from "node:test";
 
 import { FakeStore } from "../fakeStore.js";
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const prefix = "config";
 const silenceMs = 2_000;
@@ -85,7 +85,7 @@
     const region = createRegion(store, size);
     region.forEach(({ follower }) => follower.start());
     try {
-        await until(() => all(region, "v1"));
+        await waitUntil(() => all(region, "v1"));
         await new Promise(resolve => setTimeout(resolve, 50));
         await test(region, store);
     }
@@ -107,7 +107,7 @@
         withRegion(30, async (region, store) => {
             const startedAt = performance.now();
             await write(store, longText);
-            await until(() => all(region, longText));
+            await waitUntil(() => all(region, longText));
             expect(performance.now() - startedAt).toSatisfy(ms => ms < 1_500);
             expect(store.bytesSent).toSatisfy(bytes => bytes <= 3 * longText.length);
         }));
@@ -119,7 +119,7 @@
             leaders.slice(0, 2).forEach(member => member.mode = "silent");
             const startedAt = performance.now();
             await write(store, "v2");
-            await until(() => all(region, "v2"));
+            await waitUntil(() => all(region, "v2"));
             expect(performance.now() - startedAt).toSatisfy(ms => ms < 1_000);
         }));
 
@@ -129,7 +129,7 @@
             await new Promise(resolve => setTimeout(resolve, silenceMs));
             const before = store.reads;
             await write(store, "v2");
-            await until(() => all(region, "v2"));
+            await waitUntil(() => all(region, "v2"));
             await new Promise(resolve => setTimeout(resolve, 500));
             expect(store.reads - before).toSatisfy(reads => reads <= 24);
         }));
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from "node:test";
 
 import { FakeStore } from "../fakeStore.js";
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const write = async (store: FakeStore, key: string, value: string): Promise<void> => {
     await store.txn([], [{ key, value: Buffer.from(value) }]);
@@ -19,11 +19,11 @@
         await write(store, "x/1", "one");
         const seen: string[] = [];
         const follower = createFollower(store, seen);
-        await until(() => seen.length === 1);
+        await waitUntil(() => seen.length === 1);
         await write(store, "x/2", "two");
         await write(store, "y/1", "other");
         await store.txn([], [], undefined, ["x/1"]);
-        await until(() => seen.length === 3);
+        await waitUntil(() => seen.length === 3);
         expect(seen).toEqual(["all x/1", "put x/2", "removed x/1"]);
         follower.stop();
     });
@@ -32,10 +32,10 @@
         const store = new ForgetfulStore();
         const seen: string[] = [];
         const follower = createFollower(store, seen);
-        await until(() => seen.length === 1);
+        await waitUntil(() => seen.length === 1);
         store.isGone = true;
         await write(store, "x/1", "one");
-        await until(() => seen.length === 2);
+        await waitUntil(() => seen.length === 2);
         expect(seen).toEqual(["all ", "all x/1"]);
         follower.stop();
     });
@@ -49,7 +49,7 @@
             const seen: string[] = [];
             return { seen, follower: createFollower(new RelayStore(store, pick, silentLogger), seen) };
         });
-        await until(() => followers.every(({ seen }) => seen.length === 1));
+        await waitUntil(() => followers.every(({ seen }) => seen.length === 1));
         expect(link.fetched).toEqual(10);
         followers.forEach(({ follower }) => follower.stop());
     });
@@ -58,13 +58,13 @@
         const store = new FakeStore();
         const seen: string[] = [];
         const follower = createFollower(store, seen);
-        await until(() => seen.length === 1);
+        await waitUntil(() => seen.length === 1);
         const before = store.reads;
         for (let index = 0; index < 40; index++) {
             await write(store, `x/${index}`, "here");
             await new Promise(resolve => setTimeout(resolve, 5));
         }
-        await until(() => seen.length === 41);
+        await waitUntil(() => seen.length === 41);
         expect(store.reads - before).toSatisfy(calls => calls <= 8);
         follower.stop();
     });
@@ -75,7 +75,7 @@
         const seen: string[] = [];
         const startedAt = performance.now();
         const follower = createFollower(store, seen);
-        await until(() => seen.includes("all "));
+        await waitUntil(() => seen.includes("all "));
         expect(performance.now() - startedAt < 2_000).toEqual(true);
         follower.stop();
     });
@@ -84,14 +84,14 @@
         const store = new SilentStore();
         const seen: string[] = [];
         const follower = createFollower(store, seen);
-        await until(() => seen.length === 1);
+        await waitUntil(() => seen.length === 1);
         store.fault = "down";
         await write(store, "x/1", "one").catch(() => undefined);
-        await until(() => seen.includes("lost"));
+        await waitUntil(() => seen.includes("lost"));
         store.silentCalls = 1;
         const silentAt = performance.now();
         store.fault = "none";
-        await until(() => seen.includes("regained"));
+        await waitUntil(() => seen.includes("regained"));
         expect(performance.now() - silentAt < 2_000).toEqual(true);
         follower.stop();
     });
@@ -100,14 +100,14 @@
         const store = new FakeStore();
         const seen: string[] = [];
         const follower = createFollower(store, seen);
-        await until(() => seen.length === 1);
+        await waitUntil(() => seen.length === 1);
         store.fault = "down";
         await write(store, "x/1", "one").catch(() => undefined);
-        await until(() => seen.length === 2);
+        await waitUntil(() => seen.length === 2);
         await new Promise(resolve => setTimeout(resolve, 400));
         store.fault = "none";
         const backAt = performance.now();
-        await until(() => seen.includes("regained"));
+        await waitUntil(() => seen.includes("regained"));
         expect(performance.now() - backAt < 500).toEqual(true);
         expect(seen.filter(text => text === "lost").length).toEqual(1);
         follower.stop();
--- a/tests/peers/frames.test.ts
+++ b/tests/peers/frames.test.ts
@@ -25,7 +25,7 @@
 );
 
 describe("peer frames", () => {
-    it("should survive packing, one after the other on one connection", () => {
+    it("should decode messages one after another on one connection", () => {
         const outgoing = new FrameCodec();
         const incoming = new FrameCodec();
         fc.assert(fc.property(messages, message => expect(incoming.unpack(outgoing.pack(message))).toEqual(message)), {
@@ -33,7 +33,7 @@
         });
     });
 
-    it("should carry more shapes of messages than the codec keeps names for", () => {
+    it("should transfer messages of more shapes than the codec keeps names for", () => {
         const outgoing = new FrameCodec();
         const incoming = new FrameCodec();
         for (let round = 0; round < 3; round++) {
@@ -48,22 +48,25 @@
         }
     });
 
-    it("should refuse random and truncated bytes with a typed error", () => {
-        const broken = fc.oneof(
+    it("should reject random and truncated bytes with a typed error", () => {
+        const invalidFrames = fc.oneof(
             fc.uint8Array({ maxLength: 300 }),
             fc.tuple(messages, fc.double({ min: 0, max: 0.99, noNaN: true })).map(([message, share]) => {
                 const bytes = new FrameCodec().pack(message);
                 return bytes.subarray(0, Math.floor(bytes.length * share));
             }),
         );
-        fc.assert(fc.property(broken, bytes => expect(() => new FrameCodec().unpack(bytes)).toThrow(FrameError)), {
-            seed: 5,
-            numRuns: 500,
-        });
+        fc.assert(
+            fc.property(invalidFrames, bytes => expect(() => new FrameCodec().unpack(bytes)).toThrow(FrameError)),
+            {
+                seed: 5,
+                numRuns: 500,
+            },
+        );
     });
 
-    it("should refuse fields that the schema does not name", () => {
-        const odd = new FrameCodec().pack({ type: "cancel", id: 1, extra: true } as unknown as PeerMessage);
-        expect(() => new FrameCodec().unpack(odd)).toThrow(FrameError);
+    it("should reject fields that the schema does not name", () => {
+        const frame = new FrameCodec().pack({ type: "cancel", id: 1, extra: true } as unknown as PeerMessage);
+        expect(() => new FrameCodec().unpack(frame)).toThrow(FrameError);
     });
 });
--- a/tests/platform/adapter.test.ts
+++ b/tests/platform/adapter.test.ts
@@ -4,14 +4,14 @@
     parseSettings,
     PlatformStandin,
     PlatformStore,
-    Retirement,
+    RetirementHandler,
     storeLayout,
 } from "@marigolddrift/platform";
 import { HistoryGoneError, StoreError, StoreRefusalError } from "@marigolddrift/store";
 import { expect } from "earl";
 import { after, before, describe, it } from "node:test";
 
-import { config, until } from "./deployment.js";
+import { config, waitUntil } from "./deployment.js";
 
 const settings = `
 node = "front-north-a-1"
@@ -36,22 +36,22 @@
 address = "10.200.1.7:8142"
 `;
 
-describe("settings of the platform", () => {
-    it("should be read, and new fields left out", () => {
+describe("platform settings", () => {
+    it("should be parsed, and new fields left out", () => {
         const cfg = parseSettings(settings);
         expect(cfg.listen.front).toEqual({ host: "10.1.0.38", port: 8149 });
         expect([cfg.innerPorts[0], cfg.bounds.graceS, cfg.dataDir]).toEqual([7380, 8, undefined]);
     });
 
-    it("should be refused with the name of the field that does not fit", () => {
+    it("should be refused with the name of the invalid field", () => {
         expect(() => parseSettings(settings.replace("10.1.0.38:8149", "nowhere"))).toThrow("front");
     });
 });
 
-describe("entries of the platform's store", () => {
+describe("platform store entries", () => {
     const bytes = (value: unknown): Buffer => Buffer.from(JSON.stringify(value));
 
-    it("should decode routes by what the fields hold", () => {
+    it("should decode routes by the values of their fields", () => {
         const decoded = storeLayout.decodeConfig(bytes(config(7)))!;
         const [chat, look, order] = decoded.routes;
         expect([chat!.streams, chat!.idempotent, chat!.keepTurnsMs]).toEqual([true, false, 60_000]);
@@ -60,13 +60,13 @@
         expect(decoded.services[0]!.engine?.tokensPerEvent).toEqual(10);
     });
 
-    it("should take a stream for idempotent only if it may be resumed", () => {
+    it("should take a stream as idempotent only if it is resumable", () => {
         const [route] = config(7).routes;
         const resumable = { ...config(7), routes: [{ ...route, resumable: true }] };
         expect(storeLayout.decodeConfig(bytes(resumable))!.routes[0]!.idempotent).toEqual(true);
     });
 
-    it("should leave out what names no upstream, and what is no configuration", () => {
+    it("should leave out an entry that names no valid upstream, and an invalid configuration", () => {
         const entry = { service: "s", address: "10.0.0.1:80", zone: "z", slots: 4, state: "ready" };
         const decode = (value: Buffer) => storeLayout.decodeUpstream("servers/i-1", value);
         expect(decode(bytes(entry))?.id).toEqual("i-1");
@@ -78,14 +78,14 @@
     });
 });
 
-describe("headers of the platform", () => {
-    it("should not pass on what concerns one connection, by its list too", () => {
+describe("platform headers", () => {
+    it("should not pass on hop-by-hop headers, or headers named by the Connection list", () => {
         const raw = ["Connection", "keep-alive, X-Hop", "X-Hop", "1", "X-End", "2", "Expect-Instance", "forged"];
         const headers = callHeaders.forward(raw, { upstream: "i-1", leftMs: 900, enginePriority: undefined });
         expect(headers).toEqual(["X-End", "2", "Deadline-Ms", "900", "Expect-Instance", "i-1"]);
     });
 
-    it("should decode a turn", () => {
+    it("should decode the headers of a turn", () => {
         const head = callHeaders.readCall({
             "request-id": "r1",
             "token-usage": "1460,80",
@@ -107,7 +107,7 @@
         });
     });
 
-    it("should take a call for not run only by the worker's word", () => {
+    it("should take a call as not run only if marked so by the worker", () => {
         const read = (status: number, headers: string[]) => callHeaders.readReply(status, headers);
         expect(read(503, ["Not-Executed", "1"])).toHaveSubset({ notRun: true, promisesNotRun: true });
         expect(read(421, [])).toHaveSubset({ notRun: true });
@@ -115,13 +115,13 @@
     });
 });
 
-describe("client of the platform's store", () => {
+describe("platform store client", () => {
     const standin = new PlatformStandin();
     const progress = () => new Progress(2_000);
     before(() => standin.start());
     after(() => standin.close());
 
-    it("should say what became of each call", async () => {
+    it("should report the outcome of each call", async () => {
         const store = new PlatformStore(standin.address);
         const value = Buffer.from("v");
         const first = await store.txn([{ key: "a", revision: 0 }], [{ key: "a", value }], progress());
@@ -129,7 +129,7 @@
         const second = await store.txn([{ key: "a", revision: 0 }], [{ key: "a", value }], progress());
         expect([second.succeeded, second.current![0]!.revision]).toEqual([false, first.revision]);
         expect(await store.get("nothing", progress())).toEqual(undefined);
-        standin.oldest = standin.state.revision;
+        standin.oldestRevision = standin.state.revision;
         await expect(store.changes("", 0, 10, progress())).toBeRejectedWith(HistoryGoneError);
         standin.fault = "busy";
         await expect(store.get("a", progress())).toBeRejectedWith(StoreRefusalError);
@@ -139,34 +139,34 @@
         await store.close();
     });
 
-    it("should report a store machine as empty when it was asked to be", async () => {
+    it("should report the retirement of a store machine as complete when it was requested", async () => {
         const store = new PlatformStore(standin.address);
-        const retirement = new Retirement("store-1", store, async () => {}, 5_000, silentLogger);
+        const retirement = new RetirementHandler("store-1", store, async () => {}, 5_000, silentLogger);
         retirement.start();
         standin.put("op/retire/store-12", { durationS: 5 });
         standin.put("op/retire/store-1", { durationS: 5 });
-        await until(() => standin.state.get("status/retire/store-1") !== undefined);
+        await waitUntil(() => standin.state.get("status/retire/store-1") !== undefined);
         expect(standin.state.get("status/retire/store-1")!.value.toString()).toEqual("{\"state\":\"complete\"}");
         expect(standin.state.get("status/retire/store-12")).toEqual(undefined);
         retirement.stop();
         await store.close();
     });
 
-    it("should report no machine any more once it has stopped, although the store never took the report", async () => {
+    it("should retry the report of a machine no more once stopped, although the store never accepted it", async () => {
         const store = new PlatformStore(standin.address);
-        let emptied = 0;
-        const empty = async (): Promise<void> => {
-            emptied += 1;
+        let evacuations = 0;
+        const evacuate = async (): Promise<void> => {
+            evacuations += 1;
             standin.fault = "down";
         };
-        const retirement = new Retirement("store-2", store, empty, 5_000, silentLogger);
+        const retirement = new RetirementHandler("store-2", store, evacuate, 5_000, silentLogger);
         retirement.start();
         standin.put("op/retire/store-2", { durationS: 5 });
-        await until(() => (store.calls["/api/kv-txn"] ?? 0) >= 2);
+        await waitUntil(() => (store.calls["/api/kv-txn"] ?? 0) >= 2);
         retirement.stop();
         const calls = store.calls["/api/kv-txn"]!;
         await new Promise(resolve => setTimeout(resolve, 800));
-        expect([store.calls["/api/kv-txn"], emptied]).toEqual([calls, 1]);
+        expect([store.calls["/api/kv-txn"], evacuations]).toEqual([calls, 1]);
         standin.fault = "none";
         await store.close();
     });
--- a/tests/platform/calls.test.ts
+++ b/tests/platform/calls.test.ts
@@ -2,26 +2,26 @@
 import { after, before, beforeEach, describe, it } from "node:test";
 import { request } from "undici";
 
-import { Deployment, until } from "./deployment.js";
+import { Deployment, waitUntil } from "./deployment.js";
 
 describe("calls on the platform", () => {
-    let site: Deployment;
-    before(async () => site = await Deployment.start(1));
-    after(() => site.close());
+    let deployment: Deployment;
+    before(async () => deployment = await Deployment.start(1));
+    after(() => deployment.close());
     beforeEach(() => {
-        for (const worker of [site.brain, site.ops]) {
+        for (const worker of [deployment.streamingWorker, deployment.plainWorker]) {
             worker.fault = "none";
             worker.ran.length = 0;
-            worker.gapMs = 1;
+            worker.delayMs = 1;
         }
     });
 
-    it("should pass a call on unchanged, but for the headers that only the system sets", async () => {
+    it("should pass a call on unchanged except for headers that are reserved for the system", async () => {
         const headers = { "Request-Id": "a1", "X-Note": "kept", "Hold": "7", "Pin-Ms": "9", "Kv-Backup": "1.2.3.4:5" };
-        const res = await site.call("POST", "/order/sugar?kg=5", headers, "five kilos");
+        const res = await deployment.call("POST", "/order/sugar?kg=5", headers, "five kilos");
         expect([res.status, res.body]).toEqual([200, "answer to a1"]);
         expect(res.headers["response-signature"]).toEqual("3e1b.07.5a2");
-        const ran = site.ops.ran[0]!;
+        const ran = deployment.plainWorker.ran[0]!;
         expect([ran.path, ran.body, ran.headers["x-note"]]).toEqual(["/order/sugar?kg=5", "five kilos", "kept"]);
         expect([ran.headers["hold"], ran.headers["pin-ms"], ran.headers["kv-backup"]]).toEqual([
             undefined,
@@ -31,86 +31,86 @@
         expect(Number(ran.headers["deadline-ms"])).toSatisfy(left => left > 2_000 && left <= 2_500);
     });
 
-    it("should answer 404 only for what no route allows", async () => {
-        expect((await site.call("GET", "/nowhere/1")).status).toEqual(404);
-        expect((await site.call("GET", "/look/1")).status).toEqual(200);
+    it("should answer 404 only for paths without a route", async () => {
+        expect((await deployment.call("GET", "/nowhere/1")).status).toEqual(404);
+        expect((await deployment.call("GET", "/look/1")).status).toEqual(200);
     });
 
-    it("should refuse a body over the limit without sending it on", async () => {
-        expect((await site.call("POST", "/order/1", {}, "x".repeat(1_001))).status).toEqual(413);
-        expect(site.ops.ran).toEqual([]);
+    it("should refuse a body over the limit without passing it on", async () => {
+        expect((await deployment.call("POST", "/order/1", {}, "x".repeat(1_001))).status).toEqual(413);
+        expect(deployment.plainWorker.ran).toEqual([]);
     });
 
-    it("should never run a call twice that must not be repeated", async () => {
-        site.ops.fault = "loseAnswer";
-        expect((await site.call("POST", "/order/1", {}, "once")).status).toEqual(502);
-        expect(site.ops.ran.length).toEqual(1);
+    it("should never run a non-idempotent call twice", async () => {
+        deployment.plainWorker.fault = "loseResponse";
+        expect((await deployment.call("POST", "/order/1", {}, "once")).status).toEqual(502);
+        expect(deployment.plainWorker.ran.length).toEqual(1);
     });
 
-    it("should promise that a call has not run only if the worker said so", async () => {
-        site.ops.fault = "full";
-        const refused = await site.call("POST", "/order/1", {}, "once");
+    it("should answer 503 for a call that has not run only if the worker says so", async () => {
+        deployment.plainWorker.fault = "full";
+        const refused = await deployment.call("POST", "/order/1", {}, "once");
         expect([refused.status, Number(refused.headers["retry-after"]) > 0]).toEqual([503, true]);
-        site.ops.fault = "vague";
-        expect((await site.call("POST", "/order/2", {}, "once")).status).toEqual(502);
+        deployment.plainWorker.fault = "bare503";
+        expect((await deployment.call("POST", "/order/2", {}, "once")).status).toEqual(502);
     });
 
-    it("should not pass on what is no answer, or the answer to another call", async () => {
-        site.ops.fault = "garble";
-        expect((await site.call("POST", "/order/1", {}, "x")).status).toEqual(502);
-        site.ops.fault = "otherRequest";
-        const res = await site.call("POST", "/order/2", {}, "x");
+    it("should not pass on a malformed response or the response to another call", async () => {
+        deployment.plainWorker.fault = "malformedResponse";
+        expect((await deployment.call("POST", "/order/1", {}, "x")).status).toEqual(502);
+        deployment.plainWorker.fault = "wrongRequestId";
+        const res = await deployment.call("POST", "/order/2", {}, "x");
         expect([res.status, res.body.includes("foreign")]).toEqual([502, false]);
     });
 
-    it("should pass events on as they come, and never end a cut stream as if it were whole", async () => {
-        const whole = await site.turn("p-events", "e1", "hello");
+    it("should pass events on as they arrive, and never end a truncated stream as if it were complete", async () => {
+        const whole = await deployment.turn("p-events", "e1", "hello");
         expect(whole.body).toEqual("id: 0\ndata: e1-0\n\nid: 1\ndata: e1-1\n\nid: 2\ndata: e1-2\n\n");
-        site.brain.fault = "cut";
-        await expect(site.turn("p-cut", "e2", "hello")).toBeRejected();
+        deployment.streamingWorker.fault = "truncate";
+        await expect(deployment.turn("p-cut", "e2", "hello")).toBeRejected();
     });
 
-    it("should not take what ends with its connection for whole: a crash looks the same", async () => {
+    it("should not take a response delimited by connection close as complete: a crash looks the same", async () => {
         for (const fault of ["unframed", "unframedReset"] as const) {
-            site.ops.fault = fault;
-            const res = await site.call("POST", "/order/1", {}, "x");
+            deployment.plainWorker.fault = fault;
+            const res = await deployment.call("POST", "/order/1", {}, "x");
             expect([res.status, res.body.includes("half")]).toEqual([502, false]);
         }
-        site.brain.fault = "cutClosing";
-        await expect(site.turn("p-closing", "e3", "hello")).toBeRejected();
+        deployment.streamingWorker.fault = "truncateAndClose";
+        await expect(deployment.turn("p-closing", "e3", "hello")).toBeRejected();
     });
 
-    it("should answer at the route's timeout", async () => {
-        site.ops.gapMs = 1_000;
+    it("should answer 504 at the route's timeout", async () => {
+        deployment.plainWorker.delayMs = 1_000;
         const startedAt = performance.now();
-        expect((await site.call("GET", "/short/1")).status).toEqual(504);
+        expect((await deployment.call("GET", "/short/1")).status).toEqual(504);
         expect(performance.now() - startedAt).toSatisfy(ms => ms >= 190 && ms < 700);
     });
 
-    it("should stop a worker within half a second after the caller has left", async () => {
-        site.brain.gapMs = 300;
-        site.brain.abandoned.length = 0;
-        const leaving = new AbortController();
-        const res = await request(`http://127.0.0.1:${site.gateways[0]!.port}/chat/turn`, {
+    it("should stop the call to a worker within half a second after the caller disconnects", async () => {
+        deployment.streamingWorker.delayMs = 300;
+        deployment.streamingWorker.abandonedRequestIds.length = 0;
+        const callerAbort = new AbortController();
+        const res = await request(`http://127.0.0.1:${deployment.gateways[0]!.port}/chat/turn`, {
             method: "POST",
             headers: { "Host": "carts.example", "Request-Id": "gone-1", "Token-Usage": "40,50", "Model": "m" },
             body: "hello",
-            signal: leaving.signal,
+            signal: callerAbort.signal,
         });
         res.body.on("error", () => {});
-        leaving.abort();
-        const leftAt = performance.now();
-        await until(() => site.brain.abandoned.includes("gone-1"));
-        expect(performance.now() - leftAt < 500).toEqual(true);
+        callerAbort.abort();
+        const disconnectedAt = performance.now();
+        await waitUntil(() => deployment.streamingWorker.abandonedRequestIds.includes("gone-1"));
+        expect(performance.now() - disconnectedAt < 500).toEqual(true);
     });
 
-    it("should send nothing to a worker that drains, and use it again when it is ready", async () => {
-        site.store.put("servers/i-ops", site.ops.entry("draining"));
-        await until(() => site.gateways[0]!.upstreams.get("i-ops")!.entry.draining);
-        const refused = await site.call("GET", "/look/1");
-        expect([refused.status, site.ops.ran.length]).toEqual([503, 0]);
-        site.store.put("servers/i-ops", site.ops.entry("ready"));
-        await until(() => !site.gateways[0]!.upstreams.get("i-ops")!.entry.draining);
-        expect((await site.call("GET", "/look/2")).status).toEqual(200);
+    it("should send no calls to a draining worker, and use it again when it is ready", async () => {
+        deployment.store.put("servers/i-ops", deployment.plainWorker.entry("draining"));
+        await waitUntil(() => deployment.gateways[0]!.upstreams.get("i-ops")!.entry.draining);
+        const refused = await deployment.call("GET", "/look/1");
+        expect([refused.status, deployment.plainWorker.ran.length]).toEqual([503, 0]);
+        deployment.store.put("servers/i-ops", deployment.plainWorker.entry("ready"));
+        await waitUntil(() => !deployment.gateways[0]!.upstreams.get("i-ops")!.entry.draining);
+        expect((await deployment.call("GET", "/look/2")).status).toEqual(200);
     });
 });
--- a/tests/platform/deployment.ts
+++ b/tests/platform/deployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment on loopback: the platform's store, workers and gateways. */
+/** A small deployment on loopback: a fake platform store, fake workers and real gateways. */
 import { silentLogger } from "@marigolddrift/common";
 import { Gateway } from "@marigolddrift/gateway";
 import { callHeaders, PlatformStandin, PlatformStore, storeLayout, WorkerStandin } from "@marigolddrift/platform";
@@ -20,7 +20,7 @@
     ...changes,
 });
 
-/** Configuration of the deployment. */
+/** Returns the deployment's configuration with the given version. */
 export const config = (version: number) => ({
     version,
     routes: [
@@ -33,30 +33,30 @@
     limits,
 });
 
-/** An answer as a caller sees it. */
-export interface SeenAnswer {
+/** A response as received by a caller. */
+export interface ReceivedResponse {
     readonly status: number;
     readonly body: string;
     readonly headers: NodeJS.Dict<string | string[]>;
 }
 
-/** Everything in one process, on ports of its own. */
+/** Runs the store, the workers and the gateways in one process, each on a free port. */
 export class Deployment {
     readonly store = new PlatformStandin();
-    readonly brain = new WorkerStandin("i-brain", "brain", true);
-    readonly ops = new WorkerStandin("i-ops", "ops", false);
+    readonly streamingWorker = new WorkerStandin("i-brain", "brain", true);
+    readonly plainWorker = new WorkerStandin("i-ops", "ops", false);
     readonly gateways: Gateway[] = [];
-    private readonly doors: StoreDoor[] = [];
+    private readonly storeProxies: StoreProxy[] = [];
     private nextRequest = 0;
 
     static async start(gateways: number): Promise<Deployment> {
         const deployment = new Deployment();
         await deployment.store.start();
-        await deployment.brain.start();
-        await deployment.ops.start();
+        await deployment.streamingWorker.start();
+        await deployment.plainWorker.start();
         deployment.store.put("op/config", config(3));
-        deployment.store.put("servers/i-brain", deployment.brain.entry());
-        deployment.store.put("servers/i-ops", deployment.ops.entry());
+        deployment.store.put("servers/i-brain", deployment.streamingWorker.entry());
+        deployment.store.put("servers/i-ops", deployment.plainWorker.entry());
         deployment.store.put("servers/i-odd", { service: 7, note: "another writer's" });
         for (let index = 0; index < gateways; index++) {
             await deployment.addGateway();
@@ -66,8 +66,8 @@
 
     async addGateway(): Promise<Gateway> {
         const machine = `front-${this.gateways.length}`;
-        const door = await StoreDoor.open(this.store.address);
-        this.doors.push(door);
+        const proxy = await StoreProxy.open(this.store.address);
+        this.storeProxies.push(proxy);
         const gateway = new Gateway({
             instance: `${machine}-1`,
             machine,
@@ -76,7 +76,7 @@
             host: "127.0.0.1",
             port: 0,
             peerPort: 0,
-            store: new PlatformStore(door.address),
+            store: new PlatformStore(proxy.address),
             layout: storeLayout,
             protocol: callHeaders,
             toleratedLosses: 1,
@@ -86,18 +86,18 @@
         });
         await gateway.start();
         this.gateways.push(gateway);
-        await until(() => gateway.isReady && gateway.upstreams.size >= 2);
+        await waitUntil(() => gateway.isReady && gateway.upstreams.size >= 2);
         return gateway;
     }
 
-    /** Sends a call; `id` is made up if it is missing. */
+    /** Sends a call; generates a `Request-Id` if the headers have none. */
     async call(
         method: "GET" | "POST",
         path: string,
         headers: Record<string, string> = {},
         body?: string,
         gateway = this.gateways[0]!,
-    ): Promise<SeenAnswer> {
+    ): Promise<ReceivedResponse> {
         const id = headers["Request-Id"] ?? this.newId();
         const res = await request(`http://127.0.0.1:${gateway.port}${path}`, {
             method,
@@ -108,7 +108,7 @@
     }
 
     /** Sends a turn of a program. */
-    turn(program: string, id: string, input: string, previous?: string, gateway?: Gateway): Promise<SeenAnswer> {
+    turn(program: string, id: string, input: string, previous?: string, gateway?: Gateway): Promise<ReceivedResponse> {
         const headers = {
             "Request-Id": id,
             "Program-Id": program,
@@ -122,9 +122,9 @@
         return this.call("POST", "/chat/turn", headers, input, gateway);
     }
 
-    /** Cuts one gateway off from the store. */
-    turnAway(index: number): void {
-        this.doors[index]!.shut();
+    /** Closes one gateway's connections to the store and refuses new ones. */
+    disconnectFromStore(index: number): void {
+        this.storeProxies[index]!.block();
     }
 
     newId(): string {
@@ -134,24 +134,24 @@
 
     close(): void {
         this.gateways.forEach(gateway => gateway.close());
-        this.doors.forEach(door => door.close());
-        this.brain.close();
-        this.ops.close();
+        this.storeProxies.forEach(proxy => proxy.close());
+        this.streamingWorker.close();
+        this.plainWorker.close();
         this.store.close();
     }
 }
 
-/** Loopback proxy between one gateway and the store. */
-class StoreDoor {
+/** Loopback TCP proxy between one gateway and the store, which can be blocked. */
+class StoreProxy {
     address = "";
-    private isShut = false;
+    private isBlocked = false;
     private readonly sockets = new Set<Socket>();
     private readonly server: Server;
 
     private constructor(target: string) {
         const [host, port] = target.split(":");
         this.server = createServer(socket => {
-            if (this.isShut) {
+            if (this.isBlocked) {
                 socket.destroy();
                 return;
             }
@@ -165,32 +165,32 @@
         });
     }
 
-    static async open(target: string): Promise<StoreDoor> {
-        const door = new StoreDoor(target);
-        await new Promise<void>(resolve => door.server.listen(0, "127.0.0.1", () => resolve()));
-        door.address = `127.0.0.1:${(door.server.address() as AddressInfo).port}`;
-        return door;
+    static async open(target: string): Promise<StoreProxy> {
+        const proxy = new StoreProxy(target);
+        await new Promise<void>(resolve => proxy.server.listen(0, "127.0.0.1", () => resolve()));
+        proxy.address = `127.0.0.1:${(proxy.server.address() as AddressInfo).port}`;
+        return proxy;
     }
 
-    shut(): void {
-        this.isShut = true;
+    block(): void {
+        this.isBlocked = true;
         this.sockets.forEach(socket => socket.destroy());
     }
 
     close(): void {
-        this.shut();
+        this.block();
         this.server.close();
     }
 }
 
-const untilMs = 5_000;
+const conditionTimeoutMs = 5_000;
 
-/** Waits until a condition holds. */
-export const until = async (condition: () => boolean): Promise<void> => {
-    const endsAt = performance.now() + untilMs;
+/** Polls until a condition holds. */
+export const waitUntil = async (condition: () => boolean): Promise<void> => {
+    const endsAt = performance.now() + conditionTimeoutMs;
     while (!condition()) {
         if (performance.now() > endsAt) {
-            throw new Error(`the condition did not hold within ${untilMs} ms: ${condition.toString()}`);
+            throw new Error(`the condition did not hold within ${conditionTimeoutMs} ms: ${condition.toString()}`);
         }
         await new Promise(resolve => setTimeout(resolve, 5));
     }
--- a/tests/upstreams/leaving.test.ts
+++ b/tests/upstreams/leaving.test.ts
@@ -8,7 +8,7 @@
     ...barbeDouce,
     zones: [{ zone: "tunis-a", region: "tunis-north", daemons: 2, engines: 2, services: 1 }],
 };
-const graceMs = 3_000;
+const leavingDelayMs = 3_000;
 
 describe("an engine that leaves", () => {
     const fleet = new LocalFleet({ layout });
@@ -20,7 +20,7 @@
         await fleet.stop();
     });
 
-    it("should get no new work after three seconds, from any daemon", async () => {
+    it("should get no new calls from any daemon after three seconds", async () => {
         const [leaving] = [...fleet.standins.engines.values()];
         const call = async (index: number): Promise<number> => {
             const { id } = await client.open(fleet.url(index), { agent: "restock-planner" });
@@ -30,7 +30,7 @@
         };
         await Promise.all(Array.from({ length: 8 }, (_, index) => call(index)));
         leaving!.server.faults.apply({ fault: "leave", on: true, ms: 0, count: 0 });
-        await new Promise(resolve => setTimeout(resolve, graceMs));
+        await new Promise(resolve => setTimeout(resolve, leavingDelayMs));
         const before = leaving!.core.counters.calls;
         const statuses = await Promise.all(Array.from({ length: 20 }, (_, index) => call(index)));
         expect(leaving!.core.counters.calls - before).toEqual(0);
--- a/tests/upstreams/upstream.test.ts
+++ b/tests/upstreams/upstream.test.ts
@@ -17,7 +17,7 @@
 });
 
 describe("an upstream", () => {
-    it("should get no work after it refused a connection, and one call after a while", async () => {
+    it("should get no calls after it refused a connection, then one probe call after a second", async () => {
         await withClock(async clock => {
             const upstream = new Upstream("u", "z", () => {});
             upstream.onFailure(true, Date.now());
@@ -31,7 +31,7 @@
         });
     });
 
-    it("should be leaving as long as one source says so", () => {
+    it("should be leaving while at least one source reports it so", () => {
         const upstream = new Upstream("u", "z", () => {});
         upstream.setLeaving("report", true);
         upstream.setLeaving("list", false);
@@ -40,7 +40,7 @@
         expect(upstream.mayServe(0)).toEqual(true);
     });
 
-    it("should compare a load report with its own calls of that time", async () => {
+    it("should compare a load report with its own calls at the time of the report", async () => {
         await withClock(async clock => {
             const upstream = new Upstream("u", "z", () => {});
             upstream.onAssigned();
@@ -81,17 +81,17 @@
         role: "idle",
     };
 
-    it("should order what is missing, with the fencing number", () => {
+    it("should order missing models, adapters and roles with the fencing number", () => {
         const orders = ordersFor(pool, actual, 7);
         expect(orders.map(order => order.order)).toEqual(["loadModel", "loadAdapter", "changeRole"]);
         expect(orders.every(order => order.fence === 7)).toEqual(true);
     });
 
-    it("should order nothing when all is as desired", () => {
+    it("should order nothing when the actual state matches the desired one", () => {
         expect(ordersFor(pool, { ...actual, models: ["a", "b"], adapters: ["x@2"], role: "serve" }, 7)).toEqual([]);
     });
 
-    it("should wait until a former orderer's orders can no longer arrive, unless engines check", () => {
+    it("should wait until a previous sender's orders can no longer arrive, unless engines check fencing", () => {
         expect(firstOrderAt(1_000, false)).toEqual(1_000 + maxOrderDelayMs);
         expect(firstOrderAt(1_000, true)).toEqual(1_000);
     });
