--- a/packages/daemon/src/peers/peerLink.ts
+++ b/packages/daemon/src/peers/peerLink.ts
@@ -228,16 +228,16 @@
 class EventQueue implements PendingCall {
     private readonly events: AnswerEvent[] = [];
     private error: Error | undefined;
-    private wake: (() => void) | undefined;
+    private wakeReader: (() => void) | undefined;
 
     onEvent(event: AnswerEvent): void {
         this.events.push(event);
-        this.wake?.();
+        this.wakeReader?.();
     }
 
     onLost(err: Error): void {
         this.error = err;
-        this.wake?.();
+        this.wakeReader?.();
     }
 
     async next(): Promise<AnswerEvent> {
@@ -245,7 +245,7 @@
             if (this.error !== undefined) {
                 throw this.error;
             }
-            await new Promise<void>(resolve => this.wake = resolve);
+            await new Promise<void>(resolve => this.wakeReader = resolve);
         }
         return this.events.shift()!;
     }
--- a/packages/daemon/src/peers/peerServer.ts
+++ b/packages/daemon/src/peers/peerServer.ts
@@ -84,7 +84,7 @@
     private readonly incoming = new FrameCodec();
     private readonly outgoing = new FrameCodec();
     private readonly calls = new Map<number, Progress>();
-    private readonly timer: NodeJS.Timeout;
+    private readonly handshakeTimer: NodeJS.Timeout;
 
     constructor(
         private readonly socket: WebSocket,
@@ -96,8 +96,8 @@
         socket.on("message", (data: Buffer) => this.onFrame(data));
         socket.on("error", () => socket.terminate());
         socket.on("close", () => this.onClose());
-        this.timer = setTimeout(() => this.hello === undefined && socket.terminate(), handshakeTimeoutMs);
-        this.timer.unref();
+        this.handshakeTimer = setTimeout(() => this.hello === undefined && socket.terminate(), handshakeTimeoutMs);
+        this.handshakeTimer.unref();
         this.send({ type: "challenge", version: protocolVersion, nonce: this.nonce });
     }
 
@@ -131,7 +131,7 @@
             throw new Error("peer authentication failed: the proof does not match the shared key");
         }
         this.hello = message;
-        clearTimeout(this.timer);
+        clearTimeout(this.handshakeTimer);
         const mac = createMac(key, "accepting", this.nonce, message.nonce, this.identity.instance);
         this.send({ type: "welcome", instance: this.identity.instance, mac });
         this.handlers.onHello(message);
@@ -213,7 +213,7 @@
     }
 
     private onClose(): void {
-        clearTimeout(this.timer);
+        clearTimeout(this.handshakeTimer);
         this.calls.forEach(progress => progress.abort(new Error("the connection to the peer was lost")));
         if (this.hello !== undefined) {
             this.handlers.onClosed(this.hello);
--- a/packages/daemon/src/upstreams/engineClient.ts
+++ b/packages/daemon/src/upstreams/engineClient.ts
@@ -197,7 +197,7 @@
     worker: string,
     onProgress: () => void,
 ): AsyncGenerator<EngineEvent> {
-    const ready: EngineEvent[] = [];
+    const parsedEvents: EngineEvent[] = [];
     let reason = "";
     let usage: Usage | undefined;
     let done = false;
@@ -210,7 +210,7 @@
             const chunk = chunkSchema.parse(JSON.parse(data));
             const text = chunk.choices[0]?.delta.content ?? "";
             if (text !== "") {
-                ready.push({ kind: "delta", text });
+                parsedEvents.push({ kind: "delta", text });
             }
             reason = chunk.choices[0]?.finish_reason ?? reason;
             usage = chunk.usage ? toUsage(chunk.usage) : usage;
@@ -220,7 +220,7 @@
     for await (const chunk of body) {
         onProgress();
         parser.feed(decoder.decode(chunk, { stream: true }));
-        yield* ready.splice(0);
+        yield* parsedEvents.splice(0);
         if (done) {
             yield { kind: "finish", reason: reason || "stop", usage };
             return;
--- a/packages/store/src/storeClient.ts
+++ b/packages/store/src/storeClient.ts
@@ -134,14 +134,14 @@
         signal: AbortSignal,
     ): AsyncGenerator<WatchReply> {
         this.count("watch");
-        const create = {
+        const createRequest = {
             key: encode(prefix),
             range_end: encode(prefixEnd(prefix)),
             ...(startRevision === 0 ? {} : { start_revision: String(startRevision) }),
         };
         const res = await request(`http://${this.address}/v3/watch`, {
             method: "POST",
-            body: JSON.stringify({ create_request: create }),
+            body: JSON.stringify({ create_request: createRequest }),
             dispatcher: this.agent,
             signal,
             bodyTimeout: 0,
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -48,13 +48,13 @@
     }
 
     async changes(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
-        const since = () =>
+        const changesSince = () =>
             this.state.since(revision + 1).filter(event => event.kv.key.startsWith(prefix)).map(toChange);
-        if (since().length === 0 && waitMs > 0) {
+        if (changesSince().length === 0 && waitMs > 0) {
             await this.nextChange(prefix, waitMs);
             progress.check();
         }
-        return this.run("read", () => ({ changes: since(), revision: this.state.revision }));
+        return this.run("read", () => ({ changes: changesSince(), revision: this.state.revision }));
     }
 
     async txn(
--- a/tests/platform/deployment.ts
+++ b/tests/platform/deployment.ts
@@ -47,7 +47,7 @@
     readonly plainWorker = new WorkerStandin("i-ops", "ops", false);
     readonly gateways: Gateway[] = [];
     private readonly storeProxies: StoreProxy[] = [];
-    private nextRequest = 0;
+    private nextRequestId = 0;
 
     static async start(gateways: number): Promise<Deployment> {
         const deployment = new Deployment();
@@ -128,8 +128,8 @@
     }
 
     newId(): string {
-        this.nextRequest += 1;
-        return `id-${this.nextRequest}`;
+        this.nextRequestId += 1;
+        return `id-${this.nextRequestId}`;
     }
 
     close(): void {
