--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -106,7 +106,7 @@
     /** Renews a lease; returns false if it has expired. */
     keepAlive(lease: string, progress: Progress): Promise<boolean>;
     revokeLease(lease: string, progress: Progress): Promise<void>;
-    /** Calls `onChange` for each put under a prefix until the signal aborts or the connection ends; does not reconnect. */
+    /** Calls `onChange` for each put under a prefix until the signal aborts or the connection ends; no reconnects. */
     watch(prefix: string, onChange: (value: StoredValue) => void, signal: AbortSignal): Promise<void>;
 }
 
