--- a/packages/daemon/src/controllers/membership.ts
+++ b/packages/daemon/src/controllers/membership.ts
@@ -202,8 +202,8 @@
             return existing;
         }
         const link = new PeerLink(address, this.identity, this.keys, this.tls, {
-            onUp: instance => this.onLinkUp(address, instance),
-            onDown: refused => this.onLinkDown(address, refused),
+            onConnected: instance => this.onLinkUp(address, instance),
+            onDisconnected: refused => this.onLinkDown(address, refused),
         }, this.log);
         const lifecycle = this.createLifecycle(address);
         const lastHeartbeat = Date.now();
--- a/packages/daemon/src/controllers/sweeper.ts
+++ b/packages/daemon/src/controllers/sweeper.ts
@@ -95,7 +95,7 @@
     private async sweepWorker(worker: string, progress: Progress): Promise<void> {
         let heldIds: string[];
         try {
-            heldIds = (await this.deps.engines.held(worker, progress)).filter(id => id !== "");
+            heldIds = (await this.deps.engines.heldPrograms(worker, progress)).filter(id => id !== "");
         }
         catch {
             return;
--- a/packages/daemon/src/filters/chatDispatchFilter.ts
+++ b/packages/daemon/src/filters/chatDispatchFilter.ts
@@ -208,7 +208,7 @@
             priority: enginePriority(program.attainedMs, program.agent.priority - defaultPriority),
             resumeText: delivered.text,
             options: req.options,
-            firstTokenMs: stallMs + firstTokenTimeoutFactor * (score.waitMs + score.prefillMs),
+            firstTokenTimeoutMs: stallMs + firstTokenTimeoutFactor * (score.waitMs + score.prefillMs),
             stallMs,
         }, progress);
         let usage: Usage | undefined;
--- a/packages/gateway/src/peers/relayStore.ts
+++ b/packages/gateway/src/peers/relayStore.ts
@@ -192,7 +192,7 @@
 
 /** Whether an error is the definitive response of the store, which another attempt would not change. */
 const isDefinitive = (err: unknown): boolean =>
-    err instanceof HistoryGoneError || (err instanceof StoreRefusalError && !err.isBusy);
+    err instanceof HistoryGoneError || (err instanceof StoreRefusalError && !err.isRetryable);
 
 const askPeer =
     <K extends PeerRequest["kind"]>(request: Extract<PeerRequest, { kind: K; }>): PeerCall => (peer, progress) =>
--- a/packages/gateway/src/state/groupWriter.ts
+++ b/packages/gateway/src/state/groupWriter.ts
@@ -208,7 +208,7 @@
 
     private onFailed(batch: readonly PendingWrite[], err: Error): void {
         const unsettled = batch.filter(({ settled }) => !settled);
-        if (err instanceof StoreRefusalError && !err.isBusy) {
+        if (err instanceof StoreRefusalError && !err.isRetryable) {
             this.onRejected(unsettled, err);
             return;
         }
--- a/tests/gateway/journal.test.ts
+++ b/tests/gateway/journal.test.ts
@@ -8,7 +8,7 @@
 import { describe, it } from "node:test";
 
 import { FakeStore } from "../fakeStore.js";
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const withDir = async (test: (dir: string) => Promise<void>): Promise<void> => {
     const dir = await mkdtemp(join(tmpdir(), "journal-"));
@@ -102,7 +102,7 @@
         withJournalNode(async (machine, store) => {
             await Promise.all(Array.from({ length: 100 }, (_, index) => machine.keep(`t${index}`, 0)));
             expect(store.writes).toEqual(0);
-            await until(() => machine.journal.unflushedCount === 0);
+            await waitUntil(() => machine.journal.unflushedCount === 0);
             expect(store.writes).toSatisfy(calls => calls <= 5);
             expect(machine.notifiedIds.flat().length).toEqual(100);
             expect(store.state.get("marigolddrift/turns/t99")?.value).toEqual(packTurn(turnOf("t99")));
@@ -113,7 +113,7 @@
             await machine.keep("told", 1);
             await machine.keep("untold", 1);
             machine.journal.onPeerFlushed(["told"]);
-            await until(() => machine.journal.unflushedCount === 0);
+            await waitUntil(() => machine.journal.unflushedCount === 0);
             expect([store.state.get("marigolddrift/turns/told"), store.writes]).toEqual([undefined, 1]);
             expect(machine.journal.find("told").record).not.toEqual(undefined);
         }));
@@ -127,7 +127,7 @@
             await restarted.journal.start(() => 0);
             expect(restarted.journal.find("t1").record).toEqual(packTurn(turnOf("t1")));
             store.fault = "none";
-            await until(() => restarted.journal.unflushedCount === 0);
+            await waitUntil(() => restarted.journal.unflushedCount === 0);
             expect(store.state.get("marigolddrift/turns/t1")).not.toEqual(undefined);
             await restarted.close();
         }));
@@ -135,14 +135,14 @@
     it("should leave no fully flushed segments on the disk", () =>
         withJournalNode(async (machine, store, dir) => {
             await machine.keep("t1", 0);
-            await until(() => machine.journal.unflushedCount === 0);
+            await waitUntil(() => machine.journal.unflushedCount === 0);
             await machine.journal.close();
             const countSegments = async () => (await readdir(dir)).filter(name => name.endsWith(".log")).length;
             for (let restart = 0; restart < 3; restart++) {
                 const restarted = new JournalNode(dir, store);
                 await restarted.journal.start(() => 0);
                 await restarted.keep(`r${restart}`, 0);
-                await until(() => restarted.journal.unflushedCount === 0);
+                await waitUntil(() => restarted.journal.unflushedCount === 0);
                 await restarted.close();
             }
             expect(await countSegments()).toEqual(1);
--- a/tests/gateway/peerClient.test.ts
+++ b/tests/gateway/peerClient.test.ts
@@ -6,7 +6,7 @@
 import type { AddressInfo } from "node:net";
 import { describe, it } from "node:test";
 
-import { until } from "../platform/deployment.js";
+import { waitUntil } from "../platform/deployment.js";
 
 const key = () => "shared";
 
@@ -80,7 +80,7 @@
             );
             try {
                 await expect(viaProxy.ask(request, new Progress(300))).toBeRejected();
-                await until(() => viaProxy.isUsable && viaProxy.isConnected);
+                await waitUntil(() => viaProxy.isUsable && viaProxy.isConnected);
                 expect(await viaProxy.ask(request, new Progress(1_000)) as unknown).toEqual("value");
             }
             finally {
