--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -51,7 +51,7 @@
 };
 
 const executions = (run: Run): { total: number; doubled: number; } => {
-    const counters = [...run.fleet.standins.services.values()].map(service => service.counts());
+    const counters = [...run.fleet.standins.services.values()].map(service => service.executionsByKey());
     const byKey = new Map<string, number>();
     for (const [key, count] of counters.flatMap(counter => [...counter])) {
         byKey.set(key, (byKey.get(key) ?? 0) + count);
@@ -61,7 +61,7 @@
 
 const wastedShare = (run: Run): number => {
     const caches = [...run.fleet.standins.engines.values()].map(engine => engine.core.cache);
-    caches.forEach(cache => cache.finish());
+    caches.forEach(cache => cache.chargeRemainingIdleTime());
     const held = caches.reduce((sum, cache) => sum + cache.heldTokenMs, 0);
     return caches.reduce((sum, cache) => sum + cache.wastedTokenMs, 0) / Math.max(1, held);
 };
--- a/bench/policy/benchEngine.ts
+++ b/bench/policy/benchEngine.ts
@@ -1,6 +1,6 @@
 /** An engine of the bench: the stand-in's core, with faults, behind a latency. */
 import { EngineCore } from "@marigolddrift/standins";
-import type { EngineProfile, EngineTicket, EngineUsage, Segment } from "@marigolddrift/standins";
+import type { EngineCallHandle, EngineProfile, EngineUsage, Segment } from "@marigolddrift/standins";
 
 /** What happens to an engine. */
 export type EngineFault = "none" | "dead" | "hung" | "slow";
@@ -26,7 +26,7 @@
     core: EngineCore;
     leaving = false;
     private fault: EngineFault = "none";
-    private readonly calls = new Set<{ readonly call: BenchCall; readonly ticket: EngineTicket; }>();
+    private readonly calls = new Set<{ readonly call: BenchCall; readonly ticket: EngineCallHandle; }>();
 
     constructor(readonly address: string, readonly zone: string, readonly profile: EngineProfile) {
         this.core = new EngineCore(profile);
--- a/bench/policy/benchRun.ts
+++ b/bench/policy/benchRun.ts
@@ -1,7 +1,7 @@
 /** One run of the bench: a workload, a policy, a load and a fault, on virtual time. */
 import { ProblemError } from "@marigolddrift/common";
 import type { EngineProfile } from "@marigolddrift/standins";
-import { createRandom, meanDemand, planPrograms, RunRecorder } from "@marigolddrift/workload";
+import { createRandom, meanTokensPerProgram, planPrograms, RunRecorder } from "@marigolddrift/workload";
 import type { CallPlan, ProgramPlan, RunReport, Workload } from "@marigolddrift/workload";
 import { install } from "@sinonjs/fake-timers";
 
@@ -78,7 +78,7 @@
 
 /** Programs per second that the engines can serve if every prefix is cached and every batch full. */
 export const capacityOf = (workload: Workload, engines: number, profile: EngineProfile): number => {
-    const demand = meanDemand(planPrograms(workload, 2, 1));
+    const demand = meanTokensPerProgram(planPrograms(workload, 2, 1));
     const stepMs = profile.decodeBaseMs + profile.decodePerSequenceMs * (profile.maxBatch - 1);
     const engineMs = demand.generate * stepMs / profile.maxBatch + demand.prefill * profile.prefillMsPerToken;
     return engines * 1000 / engineMs;
@@ -144,7 +144,7 @@
 
     result(): BenchResult {
         const caches = [...this.engines.values()].map(engine => engine.core.cache);
-        caches.forEach(cache => cache.finish());
+        caches.forEach(cache => cache.chargeRemainingIdleTime());
         const held = caches.reduce((sum, cache) => sum + cache.heldTokenMs, 0);
         const wasted = caches.reduce((sum, cache) => sum + cache.wastedTokenMs, 0);
         const prefilled = [...this.engines.values()].reduce(
--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -1,31 +1,31 @@
-/** Client of the daemons' admin ports. */
+/** Client for the daemons' admin API. */
 import { request } from "undici";
 import VError from "verror";
 
 const timeoutMs = 10_000;
 
-/** Where a daemon's admin port is, and its key. */
-export interface AdminTarget {
+/** Address and key of a daemon's admin port. */
+export interface AdminEndpoint {
     readonly address: string;
     readonly key: string;
 }
 
-/** A daemon that could not be asked, or that refused. */
+/** An admin request that could not be sent or that the daemon rejected. */
 export class AdminError extends VError {
     constructor(address: string, detail: string) {
         super({ name: "AdminError" }, "%s: %s. Check --admin and --admin-key.", address, detail);
     }
 }
 
-/** Asks the admin port of one daemon. */
+/** Sends requests to the admin port of one daemon. */
 export class AdminClient {
-    constructor(private readonly target: AdminTarget) {}
+    constructor(private readonly target: AdminEndpoint) {}
 
-    async view(path: string): Promise<unknown> {
+    async get(path: string): Promise<unknown> {
         return await this.call("GET", path);
     }
 
-    async order(path: string, body: object): Promise<unknown> {
+    async post(path: string, body: object): Promise<unknown> {
         return await this.call("POST", path, body);
     }
 
--- a/packages/cli/src/bundleCommands.ts
+++ b/packages/cli/src/bundleCommands.ts
@@ -1,4 +1,4 @@
-/** `marigolddrift bundle ...`: propose, review, sign off and roll out versions of the configuration. */
+/** The `marigolddrift bundle` commands: propose, review, sign off and roll out configuration versions. */
 import { digest, parseBundle, Progress, signBundle, verifyBundle } from "@marigolddrift/common";
 import type { BundleDocument, Rollout } from "@marigolddrift/common";
 import { BundleChain, BundleConflictError, StoreClient } from "@marigolddrift/store";
@@ -7,10 +7,10 @@
 
 import { AdminClient } from "./adminClient.js";
 import { bundleTemplate } from "./bundleTemplate.js";
-import { diffLines } from "./diffLines.js";
+import { diffIni } from "./diffLines.js";
 
 const callTimeoutMs = 30_000;
-const gatePollMs = 500;
+const healthGatePollMs = 500;
 
 /** Options of the bundle commands. */
 export interface BundleOptions {
@@ -21,18 +21,18 @@
     readonly region?: string;
     readonly admin?: string;
     readonly adminKey?: string;
-    /** Seconds to wait until a region has a version in force. */
+    /** Maximum time for a region to apply a version, in seconds. */
     readonly wait?: number;
 }
 
-/** A command that lacks an option or an argument. */
+/** A command that was called with a missing or invalid option or argument. */
 export class UsageError extends Error {}
 
 /** Runs the bundle commands. */
 export class BundleCommands {
     constructor(private readonly options: BundleOptions) {}
 
-    /** Prints a template. */
+    /** Returns a bundle template. */
     init(): string {
         return bundleTemplate;
     }
@@ -56,32 +56,35 @@
         const text = readFileSync(file, "utf8");
         return await this.withChain(async (chain, progress) => {
             const newest = (await chain.versions(progress)).at(-1)?.value;
-            return { against: newest?.version ?? 0, changes: diffLines(newest?.text ?? "", text) };
+            return { against: newest?.version ?? 0, changes: diffIni(newest?.text ?? "", text) };
         });
     }
 
     async propose(file: string): Promise<unknown> {
         const text = readFileSync(file, "utf8");
         const bundle = parseBundle(text, file);
-        const { operator } = this.signer();
+        const { operator } = this.requireSigner();
         return await this.withChain(async (chain, progress) => {
             const doc = await chain.propose(text, bundle.bundle.version, operator, progress);
             return {
                 proposed: doc.version,
                 by: operator,
                 digest: digest(doc.text),
-                next: "another operator reviews it and signs it off",
+                next: "another operator reviews this version and signs it off",
             };
         });
     }
 
     async review(): Promise<unknown> {
-        return await this.sign("review", doc => ({ ...doc, reviews: [...doc.reviews, this.signature(doc, "review")] }));
+        return await this.addSignature(
+            "review",
+            doc => ({ ...doc, reviews: [...doc.reviews, this.signature(doc, "review")] }),
+        );
     }
 
     async signOff(): Promise<unknown> {
-        const { operator } = this.signer();
-        return await this.sign("sign-off", doc => {
+        const { operator } = this.requireSigner();
+        return await this.addSignature("sign-off", doc => {
             if (doc.proposer === operator) {
                 throw new BundleConflictError(
                     `${operator} proposed version ${doc.version}; another operator must sign it off.`,
@@ -94,10 +97,10 @@
         });
     }
 
-    /** Rolls a signed-off version out to one region, or to one after the other with a health gate in between. */
+    /** Rolls a signed-off version out to one region, or to all regions in sequence with a health gate after each. */
     async rollout(): Promise<unknown> {
         return await this.withChain(async (chain, progress) => {
-            const { value: doc } = await this.find(chain, progress);
+            const { value: doc } = await this.findVersion(chain, progress);
             if (doc.signOff === undefined) {
                 throw new BundleConflictError(`Version ${doc.version} is not signed off. Run "bundle sign-off" first.`);
             }
@@ -107,10 +110,10 @@
                 [this.options.region];
             const unknown = regions.filter(region => !zones.some(zone => zone.region === region));
             if (unknown.length > 0) {
-                throw new UsageError(`Region "${unknown.join()}" is in no zone of the bundle.`);
+                throw new UsageError(`Region "${unknown.join()}" is not in any zone of the bundle.`);
             }
             for (const [index, region] of regions.entries()) {
-                await this.rollRegion(chain, doc, region, progress);
+                await this.rollOutRegion(chain, doc, region, progress);
                 if (index < regions.length - 1 || this.options.admin !== undefined) {
                     await this.waitForRegion(doc.version, region);
                 }
@@ -148,104 +151,106 @@
         });
     }
 
-    /** Proposes the text of an older version as the newest one; the only way to undo a change. */
+    /** Proposes the text of an older version as a new version. Versions only increase, so only this undoes a change. */
     async rollForward(): Promise<unknown> {
-        const { operator } = this.signer();
+        const { operator } = this.requireSigner();
         return await this.withChain(async (chain, progress) => {
-            const { value: old } = await this.find(chain, progress);
-            const next = (await chain.versions(progress)).length + 1;
-            const text = old.text.replace(/^(version\s*=\s*)\d+/m, `$1${next}`);
-            const doc = await chain.propose(text, next, operator, progress);
-            return { proposed: doc.version, textOf: old.version, by: operator };
+            const { value: source } = await this.findVersion(chain, progress);
+            const nextVersion = (await chain.versions(progress)).length + 1;
+            const text = source.text.replace(/^(version\s*=\s*)\d+/m, `$1${nextVersion}`);
+            const doc = await chain.propose(text, nextVersion, operator, progress);
+            return { proposed: doc.version, textOf: source.version, by: operator };
         });
     }
 
-    private signer(): { operator: string; privateKey: string; } {
+    private requireSigner(): { operator: string; privateKey: string; } {
         const { operator, keyFile } = this.options;
         if (operator === undefined || keyFile === undefined) {
             throw new UsageError(
-                "--operator and --key-file are missing. Create a key with \"marigolddrift key generate\".",
+                "--operator and --key-file are required. Create a key with \"marigolddrift key generate\".",
             );
         }
         return { operator, privateKey: readFileSync(keyFile, "utf8").trim() };
     }
 
     private signature(doc: BundleDocument, purpose: "review" | "sign-off" | `rollout:${string}`) {
-        const { operator, privateKey } = this.signer();
+        const { operator, privateKey } = this.requireSigner();
         return { operator, signature: signBundle(doc, purpose, privateKey) };
     }
 
-    private async sign(
+    private async addSignature(
         purpose: "review" | "sign-off",
-        change: (doc: BundleDocument) => BundleDocument,
+        update: (doc: BundleDocument) => BundleDocument,
     ): Promise<unknown> {
         return await this.withChain(async (chain, progress) => {
-            const found = await this.find(chain, progress);
-            const next = change(found.value);
-            const keys = Object.entries(parseBundle(next.text).operator).map(([name, { publicKey }]) =>
+            const found = await this.findVersion(chain, progress);
+            const next = update(found.value);
+            const publicKeys = Object.entries(parseBundle(next.text).operator).map(([name, { publicKey }]) =>
                 [name, publicKey] as const
             );
-            const by = purpose === "review" ? next.reviews.at(-1)! : next.signOff!;
-            if (!verifyBundle(next, purpose, by, Object.fromEntries(keys))) {
+            const signature = purpose === "review" ? next.reviews.at(-1)! : next.signOff!;
+            if (!verifyBundle(next, purpose, signature, Object.fromEntries(publicKeys))) {
                 throw new BundleConflictError(
-                    `The key of ${by.operator} is not the one in section [operator.${by.operator}].`,
+                    `The key of ${signature.operator} does not match section [operator.${signature.operator}].`,
                 );
             }
             const doc = await chain.update(found, next, progress);
-            return { version: doc.version, [purpose]: by.operator };
+            return { version: doc.version, [purpose]: signature.operator };
         });
     }
 
-    private async find(chain: BundleChain, progress: Progress): Promise<Versioned<BundleDocument>> {
+    private async findVersion(chain: BundleChain, progress: Progress): Promise<Versioned<BundleDocument>> {
         const versions = await chain.versions(progress);
-        const wanted = this.options.version;
-        const found = wanted === undefined ?
+        const requestedVersion = this.options.version;
+        const found = requestedVersion === undefined ?
             versions.at(-1) :
-            versions.find(({ value }) => value.version === Number(wanted));
+            versions.find(({ value }) => value.version === Number(requestedVersion));
         if (found === undefined) {
-            throw new UsageError(`Version ${wanted ?? ""} does not exist; there are ${versions.length}.`);
+            throw new UsageError(
+                `Version ${requestedVersion ?? ""} does not exist; the store has ${versions.length} versions.`,
+            );
         }
         return found;
     }
 
-    private async rollRegion(
+    private async rollOutRegion(
         chain: BundleChain,
         doc: BundleDocument,
         region: string,
         progress: Progress,
     ): Promise<void> {
         const current = await chain.rollout(progress);
-        const same = current?.value.version === doc.version ? current.value.regions : [];
-        if (same.some(entry => entry.region === region)) {
+        const rolledOutRegions = current?.value.version === doc.version ? current.value.regions : [];
+        if (rolledOutRegions.some(entry => entry.region === region)) {
             return;
         }
         const entry = { region, at: new Date().toISOString(), ...this.signature(doc, `rollout:${region}`) };
-        await chain.roll(current, { version: doc.version, regions: [...same, entry] }, progress);
+        await chain.roll(current, { version: doc.version, regions: [...rolledOutRegions, entry] }, progress);
     }
 
-    /** The gate: all live instances of the region have the version in force before the next region gets it. */
+    /** Health gate: waits until all live instances of a region have the version in force. */
     private async waitForRegion(version: number, region: string): Promise<void> {
         const { admin, adminKey, wait = 30 } = this.options;
         if (admin === undefined) {
             throw new UsageError(
-                `The gate after region "${region}" needs --admin, or roll out one --region at a time.`,
+                `The health gate after region "${region}" requires --admin, or roll out one --region at a time.`,
             );
         }
         const client = new AdminClient({ address: admin, key: adminKey ?? "" });
-        const until = Date.now() + wait * 1000;
-        while (!await hasInForce(client, version, region)) {
-            if (Date.now() > until) {
+        const deadlineAt = Date.now() + wait * 1000;
+        while (!await isVersionInForce(client, version, region)) {
+            if (Date.now() > deadlineAt) {
                 throw new BundleConflictError(
-                    `Region "${region}" has not version ${version} in force after ${wait} s; not going on.`,
+                    `Region "${region}" did not have version ${version} in force after ${wait} s; rollout stopped.`,
                 );
             }
-            await new Promise(resolve => setTimeout(resolve, gatePollMs));
+            await new Promise(resolve => setTimeout(resolve, healthGatePollMs));
         }
     }
 
     private async withChain<T>(action: (chain: BundleChain, progress: Progress) => Promise<T>): Promise<T> {
         if (this.options.store === undefined) {
-            throw new UsageError("--store is missing. Pass host:port of the key-value service's JSON gateway.");
+            throw new UsageError("--store is required. Pass host:port of the key-value service's JSON gateway.");
         }
         const store = new StoreClient(this.options.store);
         const progress = new Progress(callTimeoutMs + (this.options.wait ?? 0) * 1000);
@@ -273,14 +278,14 @@
     return doc.reviews.length > 0 ? "reviewed" : "draft";
 };
 
-interface StatusView {
+interface InstanceStatus {
     readonly region: string;
     readonly bundle: number;
     readonly peers: readonly { readonly region: string; readonly bundle: number; readonly state: string; }[];
 }
 
-const hasInForce = async (client: AdminClient, version: number, region: string): Promise<boolean> => {
-    const status = await client.view("status") as StatusView;
+const isVersionInForce = async (client: AdminClient, version: number, region: string): Promise<boolean> => {
+    const status = await client.get("status") as InstanceStatus;
     const instances = [{ region: status.region, bundle: status.bundle, state: "live" }, ...status.peers];
     const live = instances.filter(instance => instance.region === region && instance.state === "live");
     return live.length > 0 && live.every(instance => instance.bundle >= version);
--- a/packages/cli/src/bundleTemplate.ts
+++ b/packages/cli/src/bundleTemplate.ts
@@ -1,6 +1,6 @@
-/** Text that `marigolddrift bundle init` prints. */
+/** Template that `marigolddrift bundle init` prints. */
 
-/** A bundle to start from. */
+/** A minimal bundle with placeholders. */
 export const bundleTemplate = `; A configuration bundle. Check it with: marigolddrift bundle validate FILE
 [bundle]
 version = 1
--- a/packages/cli/src/diffLines.ts
+++ b/packages/cli/src/diffLines.ts
@@ -1,13 +1,13 @@
-/** Differences between two INI texts, by section and key. */
+/** Compares INI texts by section and key. */
 import { parse } from "ini";
 
-/** Lists what was added, removed and changed, as `section.key: old -> new`. */
-export const diffLines = (before: string, after: string): string[] => {
-    const old = flatten(parse(before));
-    const now = flatten(parse(after));
-    const keys = [...new Set([...old.keys(), ...now.keys()])].sort();
-    return keys.filter(key => old.get(key) !== now.get(key))
-        .map(key => `${key}: ${old.get(key) ?? "(none)"} -> ${now.get(key) ?? "(none)"}`);
+/** Lists the keys that were added, removed or changed, each as `section.key: old -> new`. */
+export const diffIni = (before: string, after: string): string[] => {
+    const oldValues = flatten(parse(before));
+    const newValues = flatten(parse(after));
+    const keys = [...new Set([...oldValues.keys(), ...newValues.keys()])].sort();
+    return keys.filter(key => oldValues.get(key) !== newValues.get(key))
+        .map(key => `${key}: ${oldValues.get(key) ?? "(none)"} -> ${newValues.get(key) ?? "(none)"}`);
 };
 
 const flatten = (value: object, prefix = ""): Map<string, string> => {
--- a/packages/cli/src/loadCommand.ts
+++ b/packages/cli/src/loadCommand.ts
@@ -1,4 +1,4 @@
-/** `marigolddrift load`: runs a workload file against real daemons. */
+/** The `marigolddrift load` command: runs a workload file against real daemons. */
 import { HttpRunner, planPrograms, readWorkload } from "@marigolddrift/workload";
 import { SingleBar } from "cli-progress";
 
@@ -13,7 +13,7 @@
     readonly showBar: boolean;
 }
 
-/** Runs the programs and returns the report. */
+/** Runs the programs of a workload file and returns the report. */
 export const runLoad = async (options: LoadOptions): Promise<unknown> => {
     const workload = readWorkload(options.workload);
     const rate = options.rate ?? workload.programsPerSecond ?? 1;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Command line for operators. */
+/** Command-line interface for operators. */
 import { asError, createKeyPair, publicKeyOf } from "@marigolddrift/common";
 import { BundleConflictError } from "@marigolddrift/store";
 import { cac } from "cac";
@@ -9,32 +9,32 @@
 import { BundleCommands, UsageError } from "./bundleCommands.js";
 import type { BundleOptions } from "./bundleCommands.js";
 import { runLoad } from "./loadCommand.js";
-import { print } from "./output.js";
+import { printResult } from "./output.js";
 import { traceRequest } from "./traceCommand.js";
 
 const exitCodes = { ok: 0, failed: 1, usage: 2, conflict: 3 } as const;
 const privateFileMode = 0o600;
 
-/** Options that every command has. */
+/** Options that all commands share. */
 interface CommonOptions {
     readonly json?: boolean;
     readonly admin?: string;
     readonly adminKey?: string;
 }
 
-const adminOf = (options: CommonOptions): AdminClient => {
+const createAdminClient = (options: CommonOptions): AdminClient => {
     const address = options.admin ?? process.env["MARIGOLDDRIFT_ADMIN"];
     const key = options.adminKey ?? process.env["MARIGOLDDRIFT_ADMIN_KEY"];
     if (address === undefined || key === undefined) {
-        throw new UsageError("--admin and --admin-key are missing. Pass host:port and key of a daemon's admin port.");
+        throw new UsageError("--admin and --admin-key are required. Pass host:port and key of a daemon's admin port.");
     }
     return new AdminClient({ address, key });
 };
 
-/** Runs a command and exits with its code. */
+/** Runs a command, prints its result and sets the exit code. */
 const run = async (options: CommonOptions, action: () => unknown): Promise<void> => {
     try {
-        print(await action(), options.json === true);
+        printResult(await action(), options.json === true);
         process.exitCode = exitCodes.ok;
     }
     catch (err) {
@@ -55,17 +55,17 @@
         ...options,
         store: options.store ?? process.env["MARIGOLDDRIFT_STORE"] ?? "",
     });
-    const needFile = (): string => {
+    const requireFile = (): string => {
         if (file === undefined) {
-            throw new UsageError(`"bundle ${action}" needs a file: marigolddrift bundle ${action} FILE`);
+            throw new UsageError(`"bundle ${action}" requires a file: marigolddrift bundle ${action} FILE`);
         }
         return file;
     };
     const actions: Record<string, () => unknown> = {
         "init": () => commands.init(),
-        "validate": () => commands.validate(needFile()),
-        "diff": () => commands.diff(needFile()),
-        "propose": () => commands.propose(needFile()),
+        "validate": () => commands.validate(requireFile()),
+        "diff": () => commands.diff(requireFile()),
+        "propose": () => commands.propose(requireFile()),
         "review": () => commands.review(),
         "sign-off": () => commands.signOff(),
         "rollout": () => commands.rollout(),
@@ -73,18 +73,20 @@
         "history": () => commands.history(),
         "roll-forward": () => commands.rollForward(),
     };
-    const chosen = actions[action];
-    if (chosen === undefined) {
-        throw new UsageError(`"bundle ${action}" does not exist; there are ${Object.keys(actions).join(", ")}.`);
+    const command = actions[action];
+    if (command === undefined) {
+        throw new UsageError(
+            `Unknown command "bundle ${action}"; the bundle commands are ${Object.keys(actions).join(", ")}.`,
+        );
     }
-    return chosen();
+    return command();
 };
 
 const runKey = (action: string, options: { readonly out?: string; }): unknown => {
     if (action === "generate") {
         const pair = createKeyPair();
         if (options.out === undefined) {
-            throw new UsageError("--out is missing. Name the file that gets the private key.");
+            throw new UsageError("--out is required. Pass the file to write the private key to.");
         }
         writeFileSync(options.out, `${pair.privateKey}\n`, { mode: privateFileMode, flag: "wx" });
         return { privateKeyFile: options.out, publicKey: pair.publicKey };
@@ -92,7 +94,7 @@
     if (action === "show" && options.out !== undefined) {
         return { publicKey: publicKeyOf(readFileSync(options.out, "utf8").trim()) };
     }
-    throw new UsageError("There are \"key generate --out FILE\" and \"key show --out FILE\".");
+    throw new UsageError("Use \"key generate --out FILE\" or \"key show --out FILE\".");
 };
 
 const cli = cac("marigolddrift");
@@ -102,73 +104,78 @@
     "init | validate | diff | propose | review | sign-off | rollout | status | history | roll-forward",
 )
     .option("--store <address>", "host:port of the key-value service's JSON gateway")
-    .option("--operator <name>", "Operator who signs")
+    .option("--operator <name>", "Name of the operator who signs")
     .option("--key-file <file>", "File with the operator's private key")
-    .option("--version <number>", "Version; the newest one by default")
-    .option("--region <name>", "Region of a rollout; all, one after the other, by default")
-    .option("--wait <seconds>", "Longest wait for a region at the health gate", { default: 30 })
+    .option("--version <number>", "Version (the newest by default)")
+    .option("--region <name>", "Region of the rollout (by default all, one after the other)")
+    .option("--wait <seconds>", "Maximum wait for a region at the health gate, in seconds", { default: 30 })
     .action((action: string, file: string | undefined, options: BundleOptions & CommonOptions) =>
         run(options, () => runBundle(action, file, options))
     );
 
 cli.command("key <action>", "generate | show")
-    .option("--out <file>", "File of the private key")
+    .option("--out <file>", "Private key file")
     .action((action: string, options: CommonOptions & { out?: string; }) =>
         run(options, () => runKey(action, options))
     );
 
-const views = {
-    status: "Show an instance and its peers",
+const adminViews = {
+    status: "Show the status of an instance and its peers",
     programs: "Show the programs of an instance",
     slots: "Show the slots of an instance",
-    upstreams: "Show the upstreams as an instance sees them",
-    pools: "Show desired and actual state of the workers that an instance orders",
+    upstreams: "Show the upstreams that an instance knows",
+    pools: "Show the desired and actual state of the workers that an instance controls through orders",
 };
-for (const [view, description] of Object.entries(views)) {
-    cli.command(view, description).action((options: CommonOptions) => run(options, () => adminOf(options).view(view)));
+for (const [view, description] of Object.entries(adminViews)) {
+    cli.command(view, description).action((options: CommonOptions) =>
+        run(options, () => createAdminClient(options).get(view))
+    );
 }
 
-cli.command("explain <program>", "Show why each call of a program went where it went")
+cli.command("explain <program>", "Show the placement decision of each call of a program")
     .action((program: string, options: CommonOptions) =>
-        run(options, () => adminOf(options).view(`explain?program=${encodeURIComponent(program)}`))
+        run(options, () => createAdminClient(options).get(`explain?program=${encodeURIComponent(program)}`))
     );
 
-cli.command("trace <request>", "Show what log files say of a request, its program and what its instance believed")
+cli.command("trace <request>", "Search log files for a request, its program and recent state changes of its instance")
     .option("--log <files>", "Log files, separated by commas")
     .action((request: string, options: CommonOptions & { log?: string; }) =>
         run(options, () => {
             if (options.log === undefined) {
-                throw new UsageError("--log is needed.");
+                throw new UsageError("--log is required.");
             }
             return traceRequest(options.log.split(","), request);
         })
     );
-cli.command("drain [upstream]", "Drain an instance, or let an upstream get no new work")
-    .option("--undo", "Let the upstream get work again")
+cli.command("drain [upstream]", "Drain an instance, or drain an upstream so that it does not get new work")
+    .option("--undo", "Let the upstream get new work again")
     .action((upstream: string | undefined, options: CommonOptions & { undo?: boolean; }) =>
         run(options, () =>
             upstream === undefined ?
-                adminOf(options).order("drain", {}) :
-                adminOf(options).order("upstreams/drain", { address: upstream, leaving: options.undo !== true }))
+                createAdminClient(options).post("drain", {}) :
+                createAdminClient(options).post("upstreams/drain", {
+                    address: upstream,
+                    leaving: options.undo !== true,
+                }))
     );
 
 cli.command("cancel <program>", "End a program")
     .action((program: string, options: CommonOptions) =>
-        run(options, () => adminOf(options).order("programs/cancel", { program }))
+        run(options, () => createAdminClient(options).post("programs/cancel", { program }))
     );
 
 cli.command("load", "Run a workload file against daemons")
     .option("--workload <file>", "Workload file in JSON")
     .option("--url <urls>", "URLs of daemons, separated by commas")
-    .option("--key <key>", "Key of the workspace")
-    .option("--seed <number>", "Seed of the programs", { default: 1 })
-    .option("--rate <number>", "Programs per second; the file's by default")
-    .option("--time-scale <factor>", "Factor on pauses and arrivals", { default: 1 })
+    .option("--key <key>", "API key of the workspace")
+    .option("--seed <number>", "Random seed of the programs", { default: 1 })
+    .option("--rate <number>", "Programs per second (by default, from the workload file)")
+    .option("--time-scale <factor>", "Factor on pauses and start times", { default: 1 })
     .action((options: CommonOptions & Record<string, string | number | undefined>) =>
         run(options, () => {
             const { workload, url, key, seed, rate, timeScale } = options;
             if (workload === undefined || url === undefined || key === undefined) {
-                throw new UsageError("--workload, --url and --key are needed.");
+                throw new UsageError("--workload, --url and --key are required.");
             }
             return runLoad({
                 workload: String(workload),
@@ -192,7 +199,7 @@
     if (cli.matchedCommand === undefined && cli.options["help"] !== true) {
         cli.outputHelp();
         if (cli.args.length > 0) {
-            throw new UsageError(`There is no command "${cli.args.join(" ")}".`);
+            throw new UsageError(`Unknown command "${cli.args.join(" ")}".`);
         }
     }
 }
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,7 +1,7 @@
-/** What the command line prints. */
+/** Output formatting of the command line. */
 
-/** Prints a result: as JSON for programs, as a table or lines for people. */
-export const print = (result: unknown, json: boolean): void => {
+/** Prints a result as JSON, or as a human-readable table or list of fields. */
+export const printResult = (result: unknown, json: boolean): void => {
     if (json) {
         process.stdout.write(`${JSON.stringify(result, undefined, 2)}\n`);
     }
@@ -21,7 +21,9 @@
         process.stdout.write("none\n");
         return;
     }
-    console.table(rows.map(row => Object.fromEntries(Object.entries(row).map(([key, value]) => [key, flat(value)]))));
+    console.table(
+        rows.map(row => Object.fromEntries(Object.entries(row).map(([key, value]) => [key, formatCell(value)]))),
+    );
 };
 
 const printFields = (fields: Readonly<Record<string, unknown>>): void => {
@@ -31,9 +33,10 @@
             printTable(value as Record<string, unknown>[]);
         }
         else {
-            process.stdout.write(`${key}: ${String(flat(value))}\n`);
+            process.stdout.write(`${key}: ${String(formatCell(value))}\n`);
         }
     }
 };
 
-const flat = (value: unknown): unknown => typeof value === "object" && value !== null ? JSON.stringify(value) : value;
+const formatCell = (value: unknown): unknown =>
+    typeof value === "object" && value !== null ? JSON.stringify(value) : value;
--- a/packages/cli/src/traceCommand.ts
+++ b/packages/cli/src/traceCommand.ts
@@ -1,12 +1,12 @@
-/** `marigolddrift trace`: what the logs say of one request, and of what its instance believed before. */
+/** The `marigolddrift trace` command: finds the log lines that are relevant to one request. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 
-/** Time before a request's first line from which changes of belief are shown, in milliseconds. */
-const contextMs = 10_000;
+/** State changes that the instance logged up to this long before a request's first line are included. */
+const contextBeforeMs = 10_000;
 
-/** Events of other requests, which would only hide what matters. */
-const requestEvents = new Set(["call", "placement", "attempt failed", "conversation loaded", "budget spent"]);
+/** Events that belong to a single request; those of other requests are left out as noise. */
+const perRequestEvents = new Set(["call", "placement", "attempt failed", "conversation loaded", "budget spent"]);
 
 interface LogLine {
     readonly time: string;
@@ -18,8 +18,8 @@
     readonly turnOf?: string;
 }
 
-/** Reads structured lines; anything before the first brace, such as a collector's prefix, is left out. */
-const readLines = async (file: string): Promise<LogLine[]> => {
+/** Reads structured log lines and strips anything before the JSON object, such as a log collector's prefix. */
+const readLogLines = async (file: string): Promise<LogLine[]> => {
     const lines: LogLine[] = [];
     for await (const text of createInterface({ input: createReadStream(file) })) {
         const start = text.indexOf("{\"time\":");
@@ -28,7 +28,7 @@
                 lines.push(JSON.parse(text.slice(start)) as LogLine);
             }
             catch {
-                process.stderr.write(`A line of ${file} is not whole and is left out.\n`);
+                process.stderr.write(`Skipped a truncated line in ${file}.\n`);
             }
         }
     }
@@ -36,20 +36,21 @@
 };
 
 /**
- * The lines about a request, its program and its turn, and the other changes that its instance logged shortly before.
+ * Returns the log lines of a request, its program and its turn, and the state changes that its instance logged from
+ * shortly before the request until its last line.
  *
  * @example
  * await traceRequest(["front-1.log", "front-2.log"], "9c41d07be2a35f68");
  */
 export const traceRequest = async (files: readonly string[], id: string): Promise<readonly LogLine[]> => {
-    const lines = (await Promise.all(files.map(readLines))).flat().sort((a, b) => a.time < b.time ? -1 : 1);
-    const own = lines.filter(line => line.request === id);
-    const last = own.at(-1);
+    const lines = (await Promise.all(files.map(readLogLines))).flat().sort((a, b) => a.time < b.time ? -1 : 1);
+    const requestLines = lines.filter(line => line.request === id);
+    const last = requestLines.at(-1);
     if (last === undefined) {
         return [];
     }
     const endsAt = Date.parse(last.time);
-    const startsAt = Date.parse(own[0]!.time) - contextMs;
+    const startsAt = Date.parse(requestLines[0]!.time) - contextBeforeMs;
     const isRelated = (line: LogLine): boolean => {
         const at = Date.parse(line.time);
         if (line.request === id || (last.program !== undefined && line.program === last.program)) {
@@ -58,7 +59,7 @@
         if (last.turnOf !== undefined && line.turn === last.turnOf) {
             return true;
         }
-        return line.instance === last.instance && !requestEvents.has(line.event) && at >= startsAt && at <= endsAt;
+        return line.instance === last.instance && !perRequestEvents.has(line.event) && at >= startsAt && at <= endsAt;
     };
     return lines.filter(isRelated);
 };
--- a/packages/standins/src/engine/engineCore.ts
+++ b/packages/standins/src/engine/engineCore.ts
@@ -1,31 +1,31 @@
-/** A model engine in miniature: continuous batching, chunked prefill, priorities and a prefix cache. */
+/** Simulates a model engine: continuous batching, chunked prefill, priorities and a prefix cache. */
 import { PrefixCache } from "./prefixCache.js";
 import type { CacheChange, Segment } from "./prefixCache.js";
 
-/** Speed and size of an engine. */
+/** Timing and capacity of a simulated engine. */
 export interface EngineProfile {
     readonly prefillMsPerToken: number;
     readonly decodeBaseMs: number;
     readonly decodePerSequenceMs: number;
     readonly importMsPerToken: number;
     readonly maxBatch: number;
-    /** Tokens that one step prefills. */
+    /** Maximum number of tokens to prefill per step. */
     readonly prefillChunk: number;
-    /** Tokens of memory for prefixes and running sequences. */
+    /** Memory for prefixes and running sequences, in tokens. */
     readonly memoryTokens: number;
-    /** Steps that are simulated at once; 1 gives each token its own time. */
+    /** Maximum number of decode steps per timer tick; with 1, each token is delivered at its own time. */
     readonly stepsPerTick: number;
 }
 
 /** A call to an engine. */
 export interface EngineCall {
-    /** Groups the prefixes of one conversation, as `prompt_cache_key` does. */
+    /** Cache key of the conversation, like `prompt_cache_key`. */
     readonly key: string;
     readonly segments: readonly Segment[];
     readonly outputTokens: number;
     /** Digest of the prompt followed by the answer. */
     readonly answerDigest: string;
-    /** Smaller numbers go first. */
+    /** Calls with lower numbers are admitted first. */
     readonly priority: number;
     /** Called with the number of new tokens. */
     onTokens(count: number): void;
@@ -44,13 +44,13 @@
     readonly order: number;
     readonly promptTokens: number;
     cached: number;
-    toPrefill: number;
-    toImport: number;
-    generated: number;
+    tokensToPrefill: number;
+    tokensToImport: number;
+    generatedTokens: number;
     cancelled: boolean;
 }
 
-/** What an engine reports of its load. */
+/** Load report of an engine. */
 export interface EngineLoad {
     readonly running: number;
     readonly waiting: number;
@@ -70,11 +70,11 @@
 }
 
 /** Handle of a call in progress. */
-export interface EngineTicket {
+export interface EngineCallHandle {
     cancel(): void;
 }
 
-/** One engine; it runs on the runtime's timers. */
+/** A simulated engine, driven by timers. */
 export class EngineCore {
     readonly cache: PrefixCache;
     readonly counters: EngineCounters = {
@@ -86,31 +86,31 @@
         importedTokens: 0,
         generatedTokens: 0,
     };
-    /** Factor on all times; 5 makes the engine five times slower. */
+    /** Factor applied to all step times; 5 makes the engine five times slower. */
     slowdown = 1;
     /** While set, the engine makes no progress. */
     hung = false;
     private readonly waiting: Sequence[] = [];
     private running: Sequence[] = [];
-    private growth = 0;
+    private reservedOutputTokens = 0;
     private timer: NodeJS.Timeout | undefined;
-    private nextOrder = 0;
+    private nextArrivalIndex = 0;
 
     constructor(readonly profile: EngineProfile, onCacheChange?: (change: CacheChange) => void) {
         this.cache = new PrefixCache(profile.memoryTokens, onCacheChange);
     }
 
-    /** Accepts a call; its callbacks are called as it makes progress. */
-    submit(call: EngineCall): EngineTicket {
+    /** Queues a call; its callbacks are invoked as it makes progress. */
+    submit(call: EngineCall): EngineCallHandle {
         const promptTokens = call.segments.reduce((sum, segment) => sum + segment.tokens, 0);
         const seq: Sequence = {
             call,
-            order: this.nextOrder++,
+            order: this.nextArrivalIndex++,
             promptTokens,
             cached: 0,
-            toPrefill: 0,
-            toImport: 0,
-            generated: 0,
+            tokensToPrefill: 0,
+            tokensToImport: 0,
+            generatedTokens: 0,
             cancelled: false,
         };
         this.counters.calls += 1;
@@ -123,25 +123,25 @@
         return {
             running: this.running.length,
             waiting: this.waiting.length,
-            heldTokens: this.cache.held + this.growth,
+            heldTokens: this.cache.heldTokens + this.reservedOutputTokens,
             memoryTokens: this.profile.memoryTokens,
         };
     }
 
-    /** Stops the engine and forgets its calls and memory, as a crash does. */
+    /** Simulates a crash: stops the engine and discards its calls and cache. */
     crash(): void {
         clearTimeout(this.timer);
         this.timer = undefined;
         this.waiting.splice(0);
         this.running = [];
-        this.growth = 0;
+        this.reservedOutputTokens = 0;
         for (const key of this.cache.heldKeys()) {
             this.cache.drop(key);
         }
     }
 
     private cancel(seq: Sequence): void {
-        if (seq.cancelled || seq.generated >= seq.call.outputTokens) {
+        if (seq.cancelled || seq.generatedTokens >= seq.call.outputTokens) {
             return;
         }
         seq.cancelled = true;
@@ -151,7 +151,7 @@
             this.waiting.splice(index, 1);
         }
         else if (this.running.includes(seq)) {
-            this.leave(seq);
+            this.removeRunning(seq);
         }
     }
 
@@ -171,7 +171,7 @@
         if (this.running.length === 0) {
             return;
         }
-        const steps = this.plannedSteps();
+        const steps = this.stepsInNextTick();
         let ms = 0;
         const progress = new Map<Sequence, number>();
         for (let step = 0; step < steps; step++) {
@@ -180,32 +180,32 @@
         this.timer = setTimeout(() => this.deliver(progress), ms * this.slowdown);
     }
 
-    private plannedSteps(): number {
-        const prefilling = this.running.some(seq => seq.toPrefill + seq.toImport > 0);
+    private stepsInNextTick(): number {
+        const prefilling = this.running.some(seq => seq.tokensToPrefill + seq.tokensToImport > 0);
         if (prefilling) {
             return 1;
         }
-        const shortest = Math.min(...this.running.map(seq => seq.call.outputTokens - seq.generated));
+        const shortest = Math.min(...this.running.map(seq => seq.call.outputTokens - seq.generatedTokens));
         return Math.max(1, Math.min(this.profile.stepsPerTick, shortest));
     }
 
-    /** Advances all sequences by one step and returns its time in milliseconds. */
+    /** Advances all running sequences by one step. Returns the step's duration in milliseconds. */
     private simulateStep(progress: Map<Sequence, number>): number {
         const { profile } = this;
         let chunk = profile.prefillChunk;
         let ms = profile.decodeBaseMs;
         let decoding = 0;
         for (const seq of this.running) {
-            if (seq.toImport > 0) {
-                const imported = Math.min(chunk * 8, seq.toImport);
-                seq.toImport -= imported;
+            if (seq.tokensToImport > 0) {
+                const imported = Math.min(chunk * 8, seq.tokensToImport);
+                seq.tokensToImport -= imported;
                 this.counters.importedTokens += imported;
                 ms += imported * profile.importMsPerToken;
             }
-            else if (seq.toPrefill > 0) {
-                const prefilled = Math.min(chunk, seq.toPrefill);
+            else if (seq.tokensToPrefill > 0) {
+                const prefilled = Math.min(chunk, seq.tokensToPrefill);
                 chunk -= prefilled;
-                seq.toPrefill -= prefilled;
+                seq.tokensToPrefill -= prefilled;
                 this.counters.prefilledTokens += prefilled;
                 ms += prefilled * profile.prefillMsPerToken;
             }
@@ -232,30 +232,34 @@
     }
 
     private advance(seq: Sequence, count: number): void {
-        const fresh = Math.min(count, seq.call.outputTokens - seq.generated);
-        seq.generated += fresh;
-        this.counters.generatedTokens += fresh;
-        seq.call.onTokens(fresh);
-        if (seq.generated >= seq.call.outputTokens) {
+        const newTokens = Math.min(count, seq.call.outputTokens - seq.generatedTokens);
+        seq.generatedTokens += newTokens;
+        this.counters.generatedTokens += newTokens;
+        seq.call.onTokens(newTokens);
+        if (seq.generatedTokens >= seq.call.outputTokens) {
             this.finish(seq);
         }
     }
 
     private finish(seq: Sequence): void {
         const { call } = seq;
-        this.leave(seq);
-        const answered = [...call.segments, { digest: call.answerDigest, tokens: call.outputTokens }];
-        if (this.cache.canFit(answered)) {
-            this.cache.acquire(answered, call.key);
-            this.cache.release(answered);
+        this.removeRunning(seq);
+        const promptAndAnswer = [...call.segments, { digest: call.answerDigest, tokens: call.outputTokens }];
+        if (this.cache.canFit(promptAndAnswer)) {
+            this.cache.acquire(promptAndAnswer, call.key);
+            this.cache.release(promptAndAnswer);
         }
         this.counters.completed += 1;
-        call.onDone({ promptTokens: seq.promptTokens, cachedTokens: seq.cached, completionTokens: seq.generated });
+        call.onDone({
+            promptTokens: seq.promptTokens,
+            cachedTokens: seq.cached,
+            completionTokens: seq.generatedTokens,
+        });
     }
 
-    private leave(seq: Sequence): void {
+    private removeRunning(seq: Sequence): void {
         this.cache.release(seq.call.segments);
-        this.growth -= seq.call.outputTokens;
+        this.reservedOutputTokens -= seq.call.outputTokens;
         this.running = this.running.filter(other => other !== seq);
     }
 
@@ -274,10 +278,10 @@
     private start(seq: Sequence): void {
         const { cached, imported } = this.cache.lookup(seq.call.segments);
         this.cache.acquire(seq.call.segments, seq.call.key);
-        this.growth += seq.call.outputTokens;
+        this.reservedOutputTokens += seq.call.outputTokens;
         seq.cached = cached + imported;
-        seq.toImport = imported;
-        seq.toPrefill = Math.max(1, seq.promptTokens - seq.cached);
+        seq.tokensToImport = imported;
+        seq.tokensToPrefill = Math.max(1, seq.promptTokens - seq.cached);
         this.counters.cachedTokens += seq.cached;
         this.running.push(seq);
     }
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -1,4 +1,4 @@
-/** HTTP face of the engine's stand-in: OpenAI-style completions, load reports, cache events and admin orders. */
+/** HTTP API of the engine stand-in: OpenAI-style completions, load reports, cache events and admin orders. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
 
@@ -15,13 +15,13 @@
     readonly profile: EngineProfile;
     readonly models: readonly string[];
     readonly checksFencing: boolean;
-    /** Age of the load that is reported, in milliseconds. */
+    /** Age of the reported load, in milliseconds. */
     readonly loadLagMs: number;
     /** Delay of cache events, in milliseconds. */
     readonly eventLagMs: number;
-    /** Of so many cache events, one is lost. */
+    /** Every n-th cache event is dropped; 0 to drop none. */
     readonly eventGapEvery: number;
-    /** Address of the weight store; empty if models load at once. */
+    /** Address of the weight store; empty to load models immediately. */
     readonly weightStore: string;
 }
 
@@ -43,12 +43,12 @@
 const maxEvents = 5_000;
 const loadSampleMs = 100;
 
-/** One engine behind HTTP. */
+/** A simulated engine with an HTTP API. */
 export class EngineStandin {
     readonly server: StandinServer;
     readonly core: EngineCore;
     private readonly events: CacheEvent[] = [];
-    private nextEvent = 1;
+    private nextEventSeq = 1;
     private readonly models: Set<string>;
     private readonly adapters = new Set<string>();
     private role = "serve";
@@ -60,7 +60,7 @@
     private readonly timer: NodeJS.Timeout;
 
     constructor(private readonly options: EngineOptions) {
-        this.core = new EngineCore(options.profile, change => this.onChange(change));
+        this.core = new EngineCore(options.profile, change => this.recordCacheChange(change));
         this.models = new Set(options.models);
         this.server = new StandinServer(() => this.counters());
         this.server.route("POST", "/v1/chat/completions", (req, res) => this.complete(req, res));
@@ -72,20 +72,20 @@
         this.server.route(
             "GET",
             "/load",
-            async (req, res) => this.server.faults.answer(req, res, 200, this.reportedLoad()),
+            async (req, res) => this.server.faults.sendReply(req, res, 200, this.reportedLoad()),
         );
         this.server.route("GET", "/cache-events", async (req, res) => this.sendEvents(req, res));
         this.server.route(
             "POST",
             "/admin/release",
-            async (req, res) => this.onKey(req, res, key => this.core.cache.drop(key)),
+            async (req, res) => this.handleKeyRequest(req, res, key => this.core.cache.drop(key)),
         );
         this.server.route(
             "POST",
             "/admin/export",
-            async (req, res) => this.onKey(req, res, key => this.core.cache.exportKey(key)),
+            async (req, res) => this.handleKeyRequest(req, res, key => this.core.cache.exportKey(key)),
         );
-        this.server.route("POST", "/admin/orders", (req, res) => this.takeOrder(req, res));
+        this.server.route("POST", "/admin/orders", (req, res) => this.handleOrder(req, res));
         this.server.route(
             "GET",
             "/admin/held",
@@ -102,11 +102,11 @@
     }
 
     private counters(): unknown {
-        this.core.cache.account();
-        const { held, heldTokenMs, wastedTokenMs, evictions } = this.core.cache;
+        this.core.cache.updateHeldTokenMs();
+        const { heldTokens, heldTokenMs, wastedTokenMs, evictions } = this.core.cache;
         return {
             ...this.core.counters,
-            heldTokens: held,
+            heldTokens,
             heldTokenMs,
             wastedTokenMs,
             evictions,
@@ -137,29 +137,29 @@
         if (callId !== "") {
             this.executions.set(callId, (this.executions.get(callId) ?? 0) + 1);
         }
-        this.run(body, req, res);
+        this.submitCall(body, req, res);
     }
 
-    private run(body: CompletionRequest, req: IncomingMessage, res: ServerResponse): void {
+    private submitCall(body: CompletionRequest, req: IncomingMessage, res: ServerResponse): void {
         const prompt = parsePrompt(body);
-        const out = body.stream ? new StreamWriter(res, body.model) : new WholeWriter(res, body.model);
-        let sent = prompt.resumedTokens;
-        const ticket = this.core.submit({
+        const writer = body.stream ? new StreamWriter(res, body.model) : new JsonWriter(res, body.model);
+        let sentTokens = prompt.resumedTokens;
+        const handle = this.core.submit({
             key: body.prompt_cache_key,
             segments: prompt.segments,
             outputTokens: Math.max(1, prompt.answerTokens - prompt.resumedTokens),
             answerDigest: answeredDigest(prompt.seed, answerText(prompt.seed, 0, prompt.answerTokens)),
             priority: body.priority,
             onTokens: count => {
-                out.text(answerText(prompt.seed, sent, sent + count));
-                sent += count;
+                writer.text(answerText(prompt.seed, sentTokens, sentTokens + count));
+                sentTokens += count;
             },
-            onDone: usage => out.end(usage),
+            onDone: usage => writer.end(usage),
         });
-        res.on("close", () => ticket.cancel());
-        const dieMs = this.server.faults.take("dieMidStream");
-        if (dieMs !== undefined) {
-            setTimeout(() => req.socket.destroy(), dieMs);
+        res.on("close", () => handle.cancel());
+        const closeAfterMs = this.server.faults.consume("dieMidStream");
+        if (closeAfterMs !== undefined) {
+            setTimeout(() => req.socket.destroy(), closeAfterMs);
         }
     }
 
@@ -184,8 +184,8 @@
         };
     }
 
-    private onChange(change: CacheChange): void {
-        const seq = this.nextEvent++;
+    private recordCacheChange(change: CacheChange): void {
+        const seq = this.nextEventSeq++;
         if (this.options.eventGapEvery > 0 && seq % this.options.eventGapEvery === 0) {
             return;
         }
@@ -199,17 +199,21 @@
         const since = Number(new URL(req.url ?? "/", "http://localhost").searchParams.get("since") ?? 0);
         const now = Date.now();
         const events = this.events.filter(event => event.seq > since && event.visibleAt <= now);
-        this.server.faults.answer(req, res, 200, {
+        this.server.faults.sendReply(req, res, 200, {
             events: events.map(({ seq, kind, key, tokens }) => ({ seq, kind, key, tokens })),
         });
     }
 
-    private async onKey(req: IncomingMessage, res: ServerResponse, action: (key: string) => number): Promise<void> {
+    private async handleKeyRequest(
+        req: IncomingMessage,
+        res: ServerResponse,
+        action: (key: string) => number,
+    ): Promise<void> {
         const { key } = keySchema.parse(await readJson(req));
-        this.server.faults.answer(req, res, 200, { tokens: action(key) });
+        this.server.faults.sendReply(req, res, 200, { tokens: action(key) });
     }
 
-    private async takeOrder(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    private async handleOrder(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const order = orderSchema.parse(await readJson(req));
         if (this.options.checksFencing && order.fence < this.highestFence) {
             return sendJson(res, 409, { error: `fence ${order.fence} is older than ${this.highestFence}` });
@@ -217,10 +221,10 @@
         this.highestFence = Math.max(this.highestFence, order.fence);
         this.orders.push({ ...order, at: Date.now() });
         if (order.order === "loadModel" && !await this.fetchWeights(order.model)) {
-            return sendJson(res, 503, { error: "the weight store refused" });
+            return sendJson(res, 503, { error: "the weight store refused the request" });
         }
-        this.apply(order);
-        this.server.faults.answer(req, res, 200, {
+        this.applyOrder(order);
+        this.server.faults.sendReply(req, res, 200, {
             models: [...this.models],
             adapters: [...this.adapters],
             role: this.role,
@@ -235,7 +239,7 @@
         return reply.ok;
     }
 
-    private apply(order: z.infer<typeof orderSchema>): void {
+    private applyOrder(order: z.infer<typeof orderSchema>): void {
         if (order.order === "loadModel") {
             this.models.add(order.model);
         }
@@ -258,7 +262,7 @@
     prompt_tokens_details: { cached_tokens: usage.cachedTokens },
 });
 
-/** Writes an answer as server-sent events. */
+/** Writes a completion as server-sent events. */
 class StreamWriter {
     constructor(private readonly res: ServerResponse, private readonly model: string) {
         res.writeHead(200, { "content-type": "text/event-stream", "cache-control": "no-cache" });
@@ -279,8 +283,8 @@
     }
 }
 
-/** Writes an answer as one JSON document. */
-class WholeWriter {
+/** Writes a completion as one JSON document. */
+class JsonWriter {
     private content = "";
 
     constructor(private readonly res: ServerResponse, private readonly model: string) {}
--- a/packages/standins/src/engine/prefixCache.ts
+++ b/packages/standins/src/engine/prefixCache.ts
@@ -1,43 +1,43 @@
-/** Prefix cache of an engine: a tree of segments in limited memory, evicted from the least recently used leaf. */
+/** Prefix cache of an engine: a tree of segments with bounded memory and LRU eviction of leaves. */
 
-/** Part of a prompt, identified by a digest of everything up to its end. */
+/** Part of a prompt, identified by the digest of the prompt up to and including this part. */
 export interface Segment {
     readonly digest: string;
     readonly tokens: number;
 }
 
-interface Node {
+interface CacheNode {
     readonly segment: Segment;
-    readonly parent: Node | undefined;
+    readonly parent: CacheNode | undefined;
     readonly keys: Set<string>;
     children: number;
     pins: number;
-    lastUse: number;
+    lastUsedAt: number;
     exported: boolean;
 }
 
-/** A change of the cache, as engines publish it. */
+/** A cache event as engines publish it. */
 export interface CacheChange {
     readonly kind: "stored" | "evicted";
     readonly key: string;
     readonly tokens: number;
 }
 
-/** Memory of one engine, in tokens. */
+/** Prefix cache of one engine; all sizes are in tokens. */
 export class PrefixCache {
-    /** Tokens held in engine memory, and by running sequences. */
-    held = 0;
-    /** Token-milliseconds held since the start. */
+    /** Tokens in engine memory, including the prompts of running sequences. */
+    heldTokens = 0;
+    /** Total memory held over time, in token-milliseconds. */
     heldTokenMs = 0;
-    /** Token-milliseconds of segments after their last use. */
+    /** Memory held by segments after their last use, in token-milliseconds. */
     wastedTokenMs = 0;
     evictions = 0;
-    private readonly nodes = new Map<string, Node>();
-    private lastAccount = Date.now();
+    private readonly nodes = new Map<string, CacheNode>();
+    private lastUpdateAt = Date.now();
 
     constructor(readonly capacity: number, private readonly onChange: (change: CacheChange) => void = () => {}) {}
 
-    /** Tokens of the longest cached prefix, and of the exported segments that follow it. */
+    /** Returns how many tokens of the longest known prefix are cached, and how many must be imported again. */
     lookup(segments: readonly Segment[]): { cached: number; imported: number; } {
         let cached = 0;
         let imported = 0;
@@ -56,20 +56,21 @@
         return { cached, imported };
     }
 
-    /** Whether the segments fit once everything unused is evicted. */
+    /** Whether the segments fit after evicting everything that is not pinned. */
     canFit(segments: readonly Segment[]): boolean {
         const missing = this.missingTokens(segments);
-        return this.held + missing <= this.capacity || this.evictableTokens() >= this.held + missing - this.capacity;
+        return this.heldTokens + missing <= this.capacity ||
+            this.evictableTokens() >= this.heldTokens + missing - this.capacity;
     }
 
-    /** Stores and pins the segments; evicts others as needed. */
+    /** Stores and pins the segments, and evicts others if memory is short. */
     acquire(segments: readonly Segment[], key: string): void {
-        this.account();
+        this.updateHeldTokenMs();
         this.pinExisting(segments);
         this.evictFor(this.missingTokens(segments));
-        let parent: Node | undefined;
+        let parent: CacheNode | undefined;
         for (const segment of segments) {
-            parent = this.touch(segment, parent, key);
+            parent = this.storeSegment(segment, parent, key);
         }
         this.unpinExisting(segments);
         for (let node = parent; node !== undefined; node = node.parent) {
@@ -80,48 +81,48 @@
 
     /** Unpins segments that were acquired. */
     release(segments: readonly Segment[]): void {
-        this.account();
+        this.updateHeldTokenMs();
         for (const segment of segments) {
             const node = this.nodes.get(segment.digest);
             if (node !== undefined) {
                 node.pins -= 1;
-                node.lastUse = Date.now();
+                node.lastUsedAt = Date.now();
             }
         }
     }
 
-    /** Drops what only the given key uses; returns the tokens freed. */
+    /** Frees the segments that only the given key uses. Returns the number of tokens freed. */
     drop(key: string): number {
-        return this.forKey(key, node => node.children === 0, node => this.remove(node, false));
+        return this.detachKey(key, node => node.children === 0, node => this.remove(node, false));
     }
 
-    /** Moves what only the given key uses out of engine memory; returns the tokens moved. */
+    /** Moves the segments that only the given key uses out of engine memory. Returns the number of tokens moved. */
     exportKey(key: string): number {
-        return this.forKey(key, node => !node.exported, node => {
-            this.chargeIdle(node);
-            this.held -= node.segment.tokens;
+        return this.detachKey(key, node => !node.exported, node => {
+            this.chargeIdleTime(node);
+            this.heldTokens -= node.segment.tokens;
             node.exported = true;
         });
     }
 
-    /** Keys that hold memory. */
+    /** Keys of all segments in engine memory. */
     heldKeys(): string[] {
         return [...new Set([...this.nodes.values()].filter(node => !node.exported).flatMap(node => [...node.keys]))];
     }
 
-    /** Charges the idle memory that is still held as wasted; call it at the end of a measurement. */
-    finish(): void {
-        this.account();
+    /** Adds the idle time of segments still in memory to `wastedTokenMs`. Call it at the end of a measurement. */
+    chargeRemainingIdleTime(): void {
+        this.updateHeldTokenMs();
         for (const node of this.nodes.values()) {
-            this.chargeIdle(node);
+            this.chargeIdleTime(node);
         }
     }
 
-    /** Brings the running sum of held memory up to date. */
-    account(): void {
+    /** Updates `heldTokenMs` to the current time. */
+    updateHeldTokenMs(): void {
         const now = Date.now();
-        this.heldTokenMs += this.held * (now - this.lastAccount);
-        this.lastAccount = now;
+        this.heldTokenMs += this.heldTokens * (now - this.lastUpdateAt);
+        this.lastUpdateAt = now;
     }
 
     private missingTokens(segments: readonly Segment[]): number {
@@ -153,28 +154,28 @@
         }
     }
 
-    private touch(segment: Segment, parent: Node | undefined, key: string): Node {
+    private storeSegment(segment: Segment, parent: CacheNode | undefined, key: string): CacheNode {
         let node = this.nodes.get(segment.digest);
         if (node === undefined) {
-            node = { segment, parent, keys: new Set(), children: 0, pins: 1, lastUse: 0, exported: false };
+            node = { segment, parent, keys: new Set(), children: 0, pins: 1, lastUsedAt: 0, exported: false };
             this.nodes.set(segment.digest, node);
-            this.held += segment.tokens;
+            this.heldTokens += segment.tokens;
             if (parent !== undefined) {
                 parent.children += 1;
             }
         }
         else if (node.exported) {
             node.exported = false;
-            this.held += segment.tokens;
+            this.heldTokens += segment.tokens;
         }
         node.keys.add(key);
-        node.lastUse = Date.now();
+        node.lastUsedAt = Date.now();
         return node;
     }
 
     private evictFor(tokens: number): void {
-        while (this.held + tokens > this.capacity) {
-            const victim = this.oldestLeaf();
+        while (this.heldTokens + tokens > this.capacity) {
+            const victim = this.leastRecentlyUsedLeaf();
             if (victim === undefined) {
                 return;
             }
@@ -183,22 +184,22 @@
         }
     }
 
-    private oldestLeaf(): Node | undefined {
-        let oldest: Node | undefined;
+    private leastRecentlyUsedLeaf(): CacheNode | undefined {
+        let oldest: CacheNode | undefined;
         for (const node of this.nodes.values()) {
             const isLeaf = node.children === 0 && node.pins === 0 && !node.exported;
-            if (isLeaf && (oldest === undefined || node.lastUse < oldest.lastUse)) {
+            if (isLeaf && (oldest === undefined || node.lastUsedAt < oldest.lastUsedAt)) {
                 oldest = node;
             }
         }
         return oldest;
     }
 
-    private remove(node: Node, evicted: boolean): void {
-        this.account();
-        this.chargeIdle(node);
+    private remove(node: CacheNode, evicted: boolean): void {
+        this.updateHeldTokenMs();
+        this.chargeIdleTime(node);
         if (!node.exported) {
-            this.held -= node.segment.tokens;
+            this.heldTokens -= node.segment.tokens;
         }
         this.nodes.delete(node.segment.digest);
         if (node.parent !== undefined) {
@@ -209,18 +210,22 @@
         }
     }
 
-    private chargeIdle(node: Node): void {
+    private chargeIdleTime(node: CacheNode): void {
         if (!node.exported && node.pins === 0) {
-            this.wastedTokenMs += node.segment.tokens * (Date.now() - node.lastUse);
+            this.wastedTokenMs += node.segment.tokens * (Date.now() - node.lastUsedAt);
         }
     }
 
-    private forKey(key: string, allowed: (node: Node) => boolean, action: (node: Node) => void): number {
-        this.account();
+    private detachKey(
+        key: string,
+        isEligible: (node: CacheNode) => boolean,
+        action: (node: CacheNode) => void,
+    ): number {
+        this.updateHeldTokenMs();
         const nodes = [...this.nodes.values()].filter(node => node.keys.has(key)).reverse();
         let freed = 0;
         for (const node of nodes) {
-            if (node.pins === 0 && node.keys.size === 1 && allowed(node)) {
+            if (node.pins === 0 && node.keys.size === 1 && isEligible(node)) {
                 freed += node.exported ? 0 : node.segment.tokens;
                 action(node);
             }
--- a/packages/standins/src/engine/prompt.ts
+++ b/packages/standins/src/engine/prompt.ts
@@ -1,4 +1,4 @@
-/** Turns OpenAI-style messages into prompts and deterministic answers of the engine's stand-in. */
+/** Converts OpenAI-style messages to prompts and generates the engine stand-in's deterministic answers. */
 import { createHash } from "node:crypto";
 import { z } from "zod";
 
@@ -17,45 +17,50 @@
 });
 export type CompletionRequest = z.infer<typeof completionSchema>;
 
-/** A prompt as the engine sees it. */
+/** A tokenized prompt and the answer to generate for it. */
 export interface Prompt {
     readonly segments: readonly Segment[];
-    /** Tokens of the answer that the prompt already ends with. */
+    /** Tokens of the partial answer at the end of the prompt, which generation continues. */
     readonly resumedTokens: number;
-    /** Tokens of the whole answer. */
+    /** Tokens of the whole answer, including the resumed ones. */
     readonly answerTokens: number;
     readonly seed: string;
 }
 
-const lengthPattern = /\[\[tokens=(\d+)\]\]/;
+const answerLengthPattern = /\[\[tokens=(\d+)\]\]/;
 const defaultAnswerTokens = 48;
 
 const hash = (...parts: readonly string[]): string => createHash("sha1").update(parts.join("\u0000")).digest("hex");
 
-/** Splits a request into segments; the length of the answer follows `[[tokens=N]]` in the last user message. */
+/** Splits a request into segments. `[[tokens=N]]` in the last user message sets the length of the answer. */
 export const parsePrompt = (req: CompletionRequest): Prompt => {
     const resumed = req.continue_final_message ? req.messages.at(-1) : undefined;
     const messages = resumed === undefined ? req.messages : req.messages.slice(0, -1);
     const segments: Segment[] = [];
-    let chain = req.model;
+    let prefixDigest = req.model;
     for (const message of messages) {
         const text = JSON.stringify([message.role, message.content]);
-        chain = hash(chain, text);
-        segments.push({ digest: chain, tokens: Math.ceil(Buffer.byteLength(text) / bytesPerToken) });
+        prefixDigest = hash(prefixDigest, text);
+        segments.push({ digest: prefixDigest, tokens: Math.ceil(Buffer.byteLength(text) / bytesPerToken) });
     }
     const resumedTokens = resumed === undefined ? 0 : Math.floor(String(resumed.content).length / bytesPerToken);
     if (resumedTokens > 0) {
-        segments.push({ digest: hash(chain, String(resumed!.content)), tokens: resumedTokens });
+        segments.push({ digest: hash(prefixDigest, String(resumed!.content)), tokens: resumedTokens });
     }
-    const asked = lengthPattern.exec(JSON.stringify(messages.at(-1)?.content ?? ""))?.[1];
-    const total = asked === undefined ? defaultAnswerTokens : Number(asked);
-    return { segments, resumedTokens, answerTokens: Math.min(total, req.max_tokens + resumedTokens), seed: chain };
+    const requestedTokens = answerLengthPattern.exec(JSON.stringify(messages.at(-1)?.content ?? ""))?.[1];
+    const fullAnswerTokens = requestedTokens === undefined ? defaultAnswerTokens : Number(requestedTokens);
+    return {
+        segments,
+        resumedTokens,
+        answerTokens: Math.min(fullAnswerTokens, req.max_tokens + resumedTokens),
+        seed: prefixDigest,
+    };
 };
 
-/** The token at an index of the answer to a prompt; always four characters, so that text and tokens correspond. */
+/** Returns the answer token at an index. Tokens always have four characters, so text length gives the token count. */
 export const answerToken = (seed: string, index: number): string => ` ${hash(seed, String(index)).slice(0, 3)}`;
 
-/** Tokens `from` up to, but without, `to` of the answer to a prompt. */
+/** Returns the answer text from token `from` (inclusive) to token `to` (exclusive). */
 export const answerText = (seed: string, from: number, to: number): string => {
     let text = "";
     for (let index = from; index < to; index++) {
@@ -64,6 +69,6 @@
     return text;
 };
 
-/** Digest under which the prompt followed by its answer is cached, equal to that of the next turn's prefix. */
+/** Digest of a prompt followed by its answer; equals the digest of the same prefix in the next turn's prompt. */
 export const answeredDigest = (seed: string, answer: string): string =>
     hash(seed, JSON.stringify(["assistant", answer]));
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Development stand-ins, for tests, benchmarks and the demo. */
+/** Stand-ins for the platform, engines and services, used by tests, benchmarks and the demo. */
 export * from "./engine/engineCore.js";
 export * from "./engine/engineStandin.js";
 export * from "./engine/prefixCache.js";
--- a/packages/standins/src/listStandin.ts
+++ b/packages/standins/src/listStandin.ts
@@ -1,11 +1,11 @@
-/** Stand-in for the platform's lagging list of live and leaving instances. */
+/** Stand-in for the platform's list of live and leaving instances, which lags behind their actual state. */
 import { connect } from "node:net";
 import { z } from "zod";
 
 import { sendJson } from "./faults.js";
 import { readJson, StandinServer } from "./standinServer.js";
 
-/** An entry of the list. */
+/** An entry of the instance list. */
 export interface ListedInstance {
     readonly id: string;
     readonly kind: "daemon" | "upstream";
@@ -15,15 +15,15 @@
     readonly state: "live" | "leaving";
 }
 
-const markSchema = z.object({ id: z.string(), state: z.enum(["live", "leaving"]) });
+const stateOverrideSchema = z.object({ id: z.string(), state: z.enum(["live", "leaving"]) });
 const probeMs = 500;
 const probeTimeoutMs = 300;
 
-/** Probes the known instances and shows them with a lag. */
-export class ListStandin {
+/** Probes the configured instances and serves the list with a configurable lag. */
+export class InstanceListStandin {
     readonly server: StandinServer;
-    private readonly marks = new Map<string, "live" | "leaving">();
-    private readonly versions: { readonly at: number; readonly instances: ListedInstance[]; }[] = [];
+    private readonly stateOverrides = new Map<string, "live" | "leaving">();
+    private readonly snapshots: { readonly at: number; readonly instances: ListedInstance[]; }[] = [];
     private readonly timer: NodeJS.Timeout;
     private reads = 0;
 
@@ -31,11 +31,11 @@
         this.server = new StandinServer(() => ({ reads: this.reads }));
         this.server.route("GET", "/instances", async (req, res) => {
             this.reads += 1;
-            this.server.faults.answer(req, res, 200, { instances: this.visible() });
+            this.server.faults.sendReply(req, res, 200, { instances: this.visibleInstances() });
         });
-        this.server.observerRoute("POST", "/mark", async (req, res) => {
-            const mark = markSchema.parse(await readJson(req));
-            this.marks.set(mark.id, mark.state);
+        this.server.routeWithoutFaults("POST", "/mark", async (req, res) => {
+            const mark = stateOverrideSchema.parse(await readJson(req));
+            this.stateOverrides.set(mark.id, mark.state);
             sendJson(res, 200, mark);
         });
         this.timer = setInterval(() => void this.probe(), probeMs);
@@ -53,38 +53,38 @@
         await this.server.close();
     }
 
-    private visible(): ListedInstance[] {
-        const until = Date.now() - this.lagMs;
-        const old = this.versions.filter(version => version.at <= until).at(-1);
-        return (old ?? this.versions[0])?.instances ?? [];
+    private visibleInstances(): ListedInstance[] {
+        const newestVisibleAt = Date.now() - this.lagMs;
+        const snapshot = this.snapshots.filter(candidate => candidate.at <= newestVisibleAt).at(-1);
+        return (snapshot ?? this.snapshots[0])?.instances ?? [];
     }
 
     private async probe(): Promise<void> {
         const results = await Promise.all(
-            this.known.map(async instance => ({ instance, up: await isUp(instance.address) })),
+            this.known.map(async instance => ({ instance, up: await acceptsConnections(instance.address) })),
         );
         const instances = results
             .filter(result => result.up)
-            .map(({ instance }) => ({ ...instance, state: this.marks.get(instance.id) ?? "live" as const }));
-        this.versions.push({ at: Date.now(), instances });
+            .map(({ instance }) => ({ ...instance, state: this.stateOverrides.get(instance.id) ?? "live" as const }));
+        this.snapshots.push({ at: Date.now(), instances });
         const oldest = Date.now() - this.lagMs;
-        while (this.versions.length > 1 && this.versions[1]!.at <= oldest) {
-            this.versions.shift();
+        while (this.snapshots.length > 1 && this.snapshots[1]!.at <= oldest) {
+            this.snapshots.shift();
         }
     }
 }
 
-const isUp = (address: string): Promise<boolean> =>
+const acceptsConnections = (address: string): Promise<boolean> =>
     new Promise(resolve => {
-        const cut = address.lastIndexOf(":");
+        const portSeparator = address.lastIndexOf(":");
         const socket = connect({
-            host: address.slice(0, cut),
-            port: Number(address.slice(cut + 1)),
+            host: address.slice(0, portSeparator),
+            port: Number(address.slice(portSeparator + 1)),
             timeout: probeTimeoutMs,
         });
-        const end = (up: boolean): void => {
+        const end = (accepted: boolean): void => {
             socket.destroy();
-            resolve(up);
+            resolve(accepted);
         };
         socket.once("connect", () => end(true));
         socket.once("error", () => end(false));
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Command that runs the development stand-ins. */
+/** Command-line entry point of the development stand-ins. */
 import { asError, createLogger } from "@marigolddrift/common";
 import { cac } from "cac";
 
@@ -18,12 +18,12 @@
 
 const cli = cac("marigolddrift-standins");
 cli.command("", "Run the stand-ins of the platform, engines and services (development only)")
-    .option("--config <file>", "Settings in INI")
+    .option("--config <file>", "Settings file in INI format")
     .action(async (options: { config?: string; }) => {
         try {
             if (options.config === undefined) {
                 throw new Error(
-                    "--config is missing. Pass the stand-ins' settings, for example samples/barbe-douce/standins.ini.",
+                    "--config is required. Pass the stand-ins' settings, for example samples/barbe-douce/standins.ini.",
                 );
             }
             await run(options.config);
--- a/packages/standins/src/serviceStandin.ts
+++ b/packages/standins/src/serviceStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a tool or a plain service; it counts the executions of each idempotency key. */
+/** Stand-in for a tool or service that counts the executions of each idempotency key. */
 import { delay } from "@marigolddrift/common";
 import type { IncomingMessage, ServerResponse } from "node:http";
 
@@ -7,7 +7,7 @@
 /** Settings of one service. */
 export interface ServiceOptions {
     readonly name: string;
-    /** Time that an execution takes, in milliseconds. */
+    /** Duration of an execution, in milliseconds. */
     readonly latencyMs: number;
 }
 
@@ -21,7 +21,7 @@
     constructor(private readonly options: ServiceOptions) {
         this.server = new StandinServer(() => ({
             total: this.total,
-            doubled: [...this.counts().values()].filter(count => count > 1).length,
+            doubled: [...this.executionsByKey().values()].filter(count => count > 1).length,
             executions: Object.fromEntries(this.executions),
             lastNewWorkAt: this.lastNewWorkAt,
         }));
@@ -30,8 +30,8 @@
         }
     }
 
-    /** Executions by idempotency key; calls without a key are left out. */
-    counts(): Map<string, number> {
+    /** Number of executions per idempotency key, without the calls that have no key. */
+    executionsByKey(): Map<string, number> {
         return new Map([...this.executions].filter(([key]) => key !== ""));
     }
 
@@ -49,7 +49,7 @@
             res.setHeader("x-upstream-leaving", "true");
         }
         await delay(this.options.latencyMs);
-        this.server.faults.answer(req, res, 200, {
+        this.server.faults.sendReply(req, res, 200, {
             service: this.options.name,
             path: req.url,
             key,
--- a/packages/standins/src/settings.ts
+++ b/packages/standins/src/settings.ts
@@ -38,7 +38,7 @@
             latencyMs: iniNumber(0).default(30),
         }),
     ).default({}),
-    /** Daemons that the list shows once their peer port answers. */
+    /** Daemons that the instance list includes once their peer port accepts connections. */
     instance: z.record(z.string(), z.strictObject({ peer: z.string(), zone: z.string(), region: z.string() })).default(
         {},
     ),
@@ -46,5 +46,5 @@
 export type StandinSettings = z.infer<typeof standinSettingsSchema>;
 export type EngineSettings = z.infer<typeof engineSchema>;
 
-/** Reads the stand-ins' settings. */
+/** Reads the stand-ins' settings from an INI file. */
 export const readStandinSettings = (file: string): StandinSettings => readIni(standinSettingsSchema, file);
--- a/packages/standins/src/standinServer.ts
+++ b/packages/standins/src/standinServer.ts
@@ -1,4 +1,4 @@
-/** An HTTP server for one stand-in, with `POST /faults` and `GET /counters`. */
+/** HTTP server of a stand-in, with `POST /faults` and `GET /counters`. */
 import { asError } from "@marigolddrift/common";
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
@@ -6,25 +6,25 @@
 import polka from "polka";
 import type { Polka } from "polka";
 
-import { faultOrderSchema, Faults, sendJson } from "./faults.js";
+import { faultChangeSchema, Faults, sendJson } from "./faults.js";
 
 const maxBodyBytes = 64 * 1024 * 1024;
 
-/** Reads a request body. */
+/** Reads a request body of limited size. */
 export const readBody = async (req: IncomingMessage): Promise<Buffer> => {
     const chunks: Buffer[] = [];
     let size = 0;
     for await (const chunk of req) {
         size += (chunk as Buffer).length;
         if (size > maxBodyBytes) {
-            throw new Error(`the body exceeds ${maxBodyBytes} bytes`);
+            throw new Error(`the request body exceeds ${maxBodyBytes} bytes`);
         }
         chunks.push(chunk as Buffer);
     }
     return Buffer.concat(chunks);
 };
 
-/** Reads a JSON body; an empty one counts as an empty object. */
+/** Reads a JSON body; an empty body yields an empty object. */
 export const readJson = async (req: IncomingMessage): Promise<unknown> => {
     const body = await readBody(req);
     return body.length === 0 ? {} : JSON.parse(body.toString());
@@ -38,7 +38,7 @@
     private readonly app: Polka;
     private readonly server: Server;
 
-    /** @param counters Returns what `GET /counters` shows. */
+    /** @param counters Returns the body of `GET /counters`. */
     constructor(counters: () => unknown) {
         this.server = createServer();
         this.server.keepAliveTimeout = 60_000;
@@ -47,17 +47,17 @@
         this.app.post("/faults", (req, res) => void this.setFault(req, res));
     }
 
-    /** Adds a route that is subject to the faults. */
+    /** Adds a route that injected faults affect. */
     route(method: "GET" | "POST" | "DELETE", path: string, handler: Handler): void {
         this.app.add(method, path, (req, res) => void this.handle(req, res, handler));
     }
 
-    /** Adds a route that faults do not touch, for observers. */
-    observerRoute(method: "GET" | "POST", path: string, handler: Handler): void {
+    /** Adds a control route that injected faults do not affect. */
+    routeWithoutFaults(method: "GET" | "POST", path: string, handler: Handler): void {
         this.app.add(method, path, (req, res) => void handler(req, res, req.path));
     }
 
-    /** Listens on a loopback port, or on any free one for port 0; returns the port. */
+    /** Listens on a loopback port and returns it; port 0 selects a free one. */
     async listen(port: number): Promise<number> {
         const app = this.app;
         await new Promise<void>((resolve, reject) => {
@@ -78,7 +78,7 @@
         handler: Handler,
     ): Promise<void> {
         try {
-            if (await this.faults.before(req)) {
+            if (await this.faults.beforeRequest(req)) {
                 await handler(req, res, req.path);
             }
         }
@@ -91,9 +91,9 @@
 
     private async setFault(req: IncomingMessage, res: ServerResponse): Promise<void> {
         try {
-            const order = faultOrderSchema.parse(await readJson(req));
-            this.faults.apply(order);
-            sendJson(res, 200, order);
+            const change = faultChangeSchema.parse(await readJson(req));
+            this.faults.apply(change);
+            sendJson(res, 200, change);
         }
         catch (err) {
             sendJson(res, 400, { error: asError(err).message });
--- a/packages/standins/src/standins.ts
+++ b/packages/standins/src/standins.ts
@@ -1,24 +1,24 @@
-/** Starts all stand-ins that the settings name. */
+/** Starts the stand-ins that are defined in the settings. */
 import { EngineStandin } from "./engine/engineStandin.js";
-import { ListStandin } from "./listStandin.js";
+import { InstanceListStandin } from "./listStandin.js";
 import { ServiceStandin } from "./serviceStandin.js";
 import type { EngineSettings, StandinSettings } from "./settings.js";
 import { StoreStandin } from "./store/storeStandin.js";
-import { WeightStandin } from "./weightStandin.js";
+import { WeightStoreStandin } from "./weightStandin.js";
 
 /** A set of stand-ins on loopback ports. */
 export class Standins {
     readonly store = new StoreStandin();
-    readonly list: ListStandin;
-    readonly weights: WeightStandin;
+    readonly list: InstanceListStandin;
+    readonly weights: WeightStoreStandin;
     readonly engines = new Map<string, EngineStandin>();
     readonly services = new Map<string, ServiceStandin>();
     /** Port of each stand-in, by name. */
     readonly ports = new Map<string, number>();
 
     constructor(private readonly cfg: StandinSettings) {
-        this.list = new ListStandin([], cfg.list.lagMs);
-        this.weights = new WeightStandin(cfg.weights.loadsPerMinute, cfg.weights.loadMs);
+        this.list = new InstanceListStandin([], cfg.list.lagMs);
+        this.weights = new WeightStoreStandin(cfg.weights.loadsPerMinute, cfg.weights.loadMs);
     }
 
     async start(): Promise<void> {
@@ -32,7 +32,7 @@
         for (const [name, service] of Object.entries(cfg.service)) {
             const standin = new ServiceStandin({ name: service.name, latencyMs: service.latencyMs });
             this.services.set(name, standin);
-            this.listUpstream(name, await standin.server.listen(service.port), service);
+            this.registerUpstream(name, await standin.server.listen(service.port), service);
         }
         for (const [id, { peer, zone, region }] of Object.entries(cfg.instance)) {
             this.list.add({ id, kind: "daemon", address: peer, zone, region });
@@ -51,12 +51,12 @@
         const options = { profile, models, checksFencing, loadLagMs, eventLagMs, eventGapEvery, weightStore };
         const standin = new EngineStandin(options);
         this.engines.set(name, standin);
-        this.listUpstream(name, await standin.server.listen(port), { zone, region });
+        this.registerUpstream(name, await standin.server.listen(port), { zone, region });
     }
 
-    private listUpstream(name: string, port: number, place: { zone: string; region: string; }): void {
+    private registerUpstream(name: string, port: number, location: { zone: string; region: string; }): void {
         this.ports.set(name, port);
         const address = `127.0.0.1:${port}`;
-        this.list.add({ id: address, kind: "upstream", address, zone: place.zone, region: place.region });
+        this.list.add({ id: address, kind: "upstream", address, zone: location.zone, region: location.region });
     }
 }
--- a/packages/standins/src/store/keyValueState.ts
+++ b/packages/standins/src/store/keyValueState.ts
@@ -1,4 +1,4 @@
-/** Keys, revisions and leases of the stand-in for the key-value service. */
+/** Keys, revisions and leases of the key-value store stand-in. */
 
 /** A key with its value and revisions. */
 export interface KeyValue {
@@ -25,7 +25,7 @@
 
 const maxHistory = 10_000;
 
-/** A versioned map with leases. */
+/** An in-memory key-value map with revisions, leases and change notifications. */
 export class KeyValueState {
     revision = 1;
     private readonly entries = new Map<string, KeyValue>();
@@ -38,27 +38,27 @@
         return this.entries.get(key);
     }
 
-    /** Keys from `key` up to, but without, `end`, in order. */
+    /** Returns the entries from `key` (inclusive) to `end` (exclusive), ordered by key. */
     range(key: string, end: string): KeyValue[] {
         return [...this.entries.values()]
             .filter(entry => entry.key >= key && entry.key < end)
             .sort((a, b) => a.key < b.key ? -1 : 1);
     }
 
-    /** Begins a transaction; all its changes share one revision. */
+    /** Starts a new revision, which all changes of one transaction share. */
     beginRevision(): void {
         this.revision += 1;
     }
 
     put(key: string, value: Buffer, lease: string): void {
-        const old = this.entries.get(key);
-        this.detach(old);
+        const previous = this.entries.get(key);
+        this.detachFromLease(previous);
         const kv: KeyValue = {
             key,
             value,
-            createRevision: old?.createRevision ?? this.revision,
+            createRevision: previous?.createRevision ?? this.revision,
             modRevision: this.revision,
-            version: (old?.version ?? 0) + 1,
+            version: (previous?.version ?? 0) + 1,
             lease,
         };
         this.entries.set(key, kv);
@@ -67,13 +67,16 @@
     }
 
     remove(key: string): boolean {
-        const old = this.entries.get(key);
-        if (old === undefined) {
+        const previous = this.entries.get(key);
+        if (previous === undefined) {
             return false;
         }
-        this.detach(old);
+        this.detachFromLease(previous);
         this.entries.delete(key);
-        this.emit({ type: "DELETE", kv: { ...old, modRevision: this.revision, value: Buffer.alloc(0), version: 0 } });
+        this.emit({
+            type: "DELETE",
+            kv: { ...previous, modRevision: this.revision, value: Buffer.alloc(0), version: 0 },
+        });
         return true;
     }
 
@@ -87,7 +90,7 @@
         return this.leases.has(id);
     }
 
-    /** Extends a lease; returns its time to live in seconds, or 0 if it has lapsed. */
+    /** Renews a lease. Returns its TTL in seconds, or 0 if it has expired. */
     keepAlive(id: string): number {
         const lease = this.leases.get(id);
         if (lease === undefined) {
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Ends the leases whose time has passed. */
+    /** Revokes the leases whose TTL has elapsed. */
     expireLeases(): void {
         for (const lease of [...this.leases.values()]) {
             if (lease.expiresAt <= Date.now()) {
@@ -117,8 +120,8 @@
         }
     }
 
-    /** Events from a revision on. */
-    since(revision: number): KeyEvent[] {
+    /** Returns the retained events from a revision onwards. */
+    eventsSince(revision: number): KeyEvent[] {
         return this.history.filter(event => event.kv.modRevision >= revision);
     }
 
@@ -127,7 +130,7 @@
         return () => this.listeners.delete(listener);
     }
 
-    private detach(kv: KeyValue | undefined): void {
+    private detachFromLease(kv: KeyValue | undefined): void {
         if (kv !== undefined) {
             this.leases.get(kv.lease)?.keys.delete(kv.key);
         }
--- a/packages/standins/src/store/storeStandin.ts
+++ b/packages/standins/src/store/storeStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the key-value service: the subset of the etcd v3 JSON gateway that the daemons use. */
+/** Stand-in for the key-value store: the subset of the etcd v3 JSON gateway that the daemons use. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
 
@@ -53,7 +53,7 @@
     lease: kv.lease,
 });
 
-/** The store's stand-in. */
+/** In-memory key-value store behind the etcd v3 JSON gateway API. */
 export class StoreStandin {
     readonly server: StandinServer;
     readonly state = new KeyValueState();
@@ -69,15 +69,15 @@
             watches: this.watches.size,
             revision: this.state.revision,
         }));
-        this.add("/v3/kv/range", "range", body => this.range(rangeSchema.parse(body)));
-        this.add("/v3/kv/put", "put", body => this.put(putSchema.parse(body)));
-        this.add("/v3/kv/txn", "txn", body => this.txn(txnSchema.parse(body)));
-        this.add("/v3/lease/grant", "grant", body => this.grant(z.object({ TTL: int64 }).parse(body).TTL));
-        this.add("/v3/lease/keepalive", "keepalive", body => {
+        this.addOperation("/v3/kv/range", "range", body => this.range(rangeSchema.parse(body)));
+        this.addOperation("/v3/kv/put", "put", body => this.put(putSchema.parse(body)));
+        this.addOperation("/v3/kv/txn", "txn", body => this.txn(txnSchema.parse(body)));
+        this.addOperation("/v3/lease/grant", "grant", body => this.grant(z.object({ TTL: int64 }).parse(body).TTL));
+        this.addOperation("/v3/lease/keepalive", "keepalive", body => {
             const id = z.object({ ID: z.string() }).parse(body).ID;
             return { result: { ID: id, TTL: String(this.state.keepAlive(id)) } };
         });
-        this.add("/v3/lease/revoke", "revoke", body => {
+        this.addOperation("/v3/lease/revoke", "revoke", body => {
             this.state.revoke(z.object({ ID: z.string() }).parse(body).ID);
             return {};
         });
@@ -101,17 +101,17 @@
         this.state.expireLeases();
     }
 
-    private add(path: string, name: string, handle: (body: unknown) => unknown): void {
+    private addOperation(path: string, name: string, handle: (body: unknown) => unknown): void {
         this.server.route("POST", path, async (req, res) => {
-            this.count(name);
+            this.countCall(name);
             const body = await readJson(req);
             this.bytesIn += Number(req.headers["content-length"] ?? 0);
             const header = { revision: String(this.state.revision) };
-            this.server.faults.answer(req, res, 200, { header, ...handle(body) as object });
+            this.server.faults.sendReply(req, res, 200, { header, ...handle(body) as object });
         });
     }
 
-    private count(name: string): void {
+    private countCall(name: string): void {
         this.calls[name] = (this.calls[name] ?? 0) + 1;
     }
 
@@ -144,11 +144,11 @@
         if (operations.some(operation => operation.request_put || operation.request_delete_range)) {
             this.state.beginRevision();
         }
-        const responses = operations.map(operation => this.operate(operation));
+        const responses = operations.map(operation => this.applyOperation(operation));
         return { header: { revision: String(this.state.revision) }, succeeded, responses };
     }
 
-    private operate(operation: Operation) {
+    private applyOperation(operation: Operation) {
         if (operation.request_range !== undefined) {
             return { response_range: this.range(operation.request_range) };
         }
@@ -169,7 +169,7 @@
     }
 
     private async watch(req: IncomingMessage, res: ServerResponse): Promise<void> {
-        this.count("watch");
+        this.countCall("watch");
         const { create_request: create } = watchSchema.parse(await readJson(req));
         const key = decode(create.key);
         const end = create.range_end === undefined ? `${key}\u0000` : decode(create.range_end);
@@ -184,7 +184,7 @@
         };
         res.writeHead(200, { "content-type": "application/json" });
         res.write(`${JSON.stringify({ result: { created: true } })}\n`);
-        const missed = create.start_revision > 0 ? this.state.since(create.start_revision).filter(matches) : [];
+        const missed = create.start_revision > 0 ? this.state.eventsSince(create.start_revision).filter(matches) : [];
         if (missed.length > 0) {
             send(missed);
         }
--- a/packages/standins/src/weightStandin.ts
+++ b/packages/standins/src/weightStandin.ts
@@ -4,8 +4,8 @@
 import { sendJson } from "./faults.js";
 import { StandinServer } from "./standinServer.js";
 
-/** Serves weights, at most so many loads a minute. */
-export class WeightStandin {
+/** Serves weights with a limit on the number of loads per minute. */
+export class WeightStoreStandin {
     readonly server: StandinServer;
     private readonly served: { readonly model: string; readonly at: number; }[] = [];
     private refused = 0;
@@ -21,7 +21,7 @@
             }
             this.served.push({ model: decodeURIComponent(path.split("/").at(-1) ?? ""), at: Date.now() });
             await delay(this.loadMs);
-            this.server.faults.answer(req, res, 200, { bytes: 1 });
+            this.server.faults.sendReply(req, res, 200, { bytes: 1 });
         });
     }
 
--- a/packages/workload/src/client.ts
+++ b/packages/workload/src/client.ts
@@ -1,8 +1,8 @@
-/** A caller of the daemons, for the demo, tests and benchmarks. */
+/** HTTP client of the daemons, for the demo, tests and benchmarks. */
 import type { Message, Problem } from "@marigolddrift/common";
 import { Agent, request } from "undici";
 
-/** An answer to a model call. */
+/** The result of a model call. */
 export interface ChatAnswer {
     readonly status: number;
     readonly text: string;
@@ -12,7 +12,7 @@
     readonly promptTokens: number;
     readonly completionTokens: number;
     readonly problem: Problem | undefined;
-    /** Milliseconds to the first token, for streams. */
+    /** Time to the first token; only measured for streams. */
     readonly firstTokenMs: number;
     readonly gapsMs: readonly number[];
 }
@@ -41,7 +41,7 @@
     readonly program?: { readonly call: number; readonly digest: string; };
 }
 
-/** Calls one daemon, or another one at each call. */
+/** Calls daemons with one workspace key; each call names the daemon's URL. */
 export class Client {
     private readonly agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: 0, bodyTimeout: 0 });
 
@@ -51,7 +51,7 @@
         await this.agent.destroy();
     }
 
-    /** Opens a program; returns its id, or the problem. */
+    /** Opens a program. Returns its id, or an empty id and the problem. */
     async open(url: string, body: object): Promise<{ id: string; problem: Problem | undefined; }> {
         const { status, value } = await this.json("POST", `${url}/v1/programs`, body);
         return status === 200 ?
@@ -80,7 +80,11 @@
             dispatcher: this.agent,
         });
         const text = await res.body.text();
-        return { status: res.statusCode, value: parse(text), replayed: res.headers["idempotency-replayed"] === "true" };
+        return {
+            status: res.statusCode,
+            value: parseJsonOrText(text),
+            replayed: res.headers["idempotency-replayed"] === "true",
+        };
     }
 
     async chat(
@@ -103,13 +107,17 @@
             ...(options.signal === undefined ? {} : { signal: options.signal }),
         });
         if (res.statusCode !== 200) {
-            return { ...noAnswer, status: res.statusCode, problem: parse(await res.body.text()) as Problem };
+            return {
+                ...emptyAnswer,
+                status: res.statusCode,
+                problem: parseJsonOrText(await res.body.text()) as Problem,
+            };
         }
         if (options.stream === true) {
             return await readStream(res.body, startedAt);
         }
         const body = await res.body.json() as CompletionBody;
-        return { ...noAnswer, status: 200, ...details(body), text: body.choices[0]?.message?.content ?? "" };
+        return { ...emptyAnswer, status: 200, ...answerDetails(body), text: body.choices[0]?.message?.content ?? "" };
     }
 
     private headers(): Record<string, string> {
@@ -127,11 +135,11 @@
             body: body === undefined ? null : JSON.stringify(body),
             dispatcher: this.agent,
         });
-        return { status: res.statusCode, value: parse(await res.body.text()) };
+        return { status: res.statusCode, value: parseJsonOrText(await res.body.text()) };
     }
 }
 
-const noAnswer: ChatAnswer = {
+const emptyAnswer: ChatAnswer = {
     status: 0,
     text: "",
     call: 0,
@@ -144,7 +152,7 @@
     gapsMs: [],
 };
 
-const parse = (text: string): unknown => {
+const parseJsonOrText = (text: string): unknown => {
     try {
         return JSON.parse(text);
     }
@@ -159,7 +167,7 @@
     ...(options.timeoutSeconds === undefined ? {} : { "request-timeout": String(options.timeoutSeconds) }),
 });
 
-const details = (body: CompletionBody) => ({
+const answerDetails = (body: CompletionBody) => ({
     call: body.program?.call ?? 0,
     digest: body.program?.digest ?? "",
     cachedTokens: body.usage?.prompt_tokens_details.cached_tokens ?? 0,
@@ -168,17 +176,17 @@
 });
 
 const readStream = async (body: AsyncIterable<Buffer>, startedAt: number): Promise<ChatAnswer> => {
-    let rest = "";
+    let partialEvent = "";
     let text = "";
     let problem: Problem | undefined;
     let done = false;
-    let last: CompletionBody | undefined;
+    let lastChunk: CompletionBody | undefined;
     let firstTokenMs = 0;
-    let previous = 0;
+    let previousChunkAt = 0;
     const gapsMs: number[] = [];
     for await (const chunk of body) {
-        const events = (rest + chunk.toString()).split("\n\n");
-        rest = events.pop() ?? "";
+        const events = (partialEvent + chunk.toString()).split("\n\n");
+        partialEvent = events.pop() ?? "";
         for (const event of events) {
             const data = event.split("\n").find(line => line.startsWith("data: "))?.slice(6) ?? "";
             if (event.startsWith("event: error")) {
@@ -188,24 +196,24 @@
                 done = true;
             }
             else {
-                last = JSON.parse(data) as CompletionBody;
-                const delta = last.choices[0]?.delta?.content ?? "";
+                lastChunk = JSON.parse(data) as CompletionBody;
+                const delta = lastChunk.choices[0]?.delta?.content ?? "";
                 text += delta;
                 const now = performance.now();
                 if (delta !== "" && firstTokenMs === 0) {
                     firstTokenMs = now - startedAt;
                 }
                 else if (delta !== "") {
-                    gapsMs.push(now - previous);
+                    gapsMs.push(now - previousChunkAt);
                 }
-                previous = now;
+                previousChunkAt = now;
             }
         }
     }
     return {
-        ...noAnswer,
+        ...emptyAnswer,
         status: done ? 200 : 599,
-        ...(last ? details(last) : {}),
+        ...(lastChunk ? answerDetails(lastChunk) : {}),
         text,
         problem,
         firstTokenMs,
--- a/packages/workload/src/httpRunner.ts
+++ b/packages/workload/src/httpRunner.ts
@@ -7,21 +7,21 @@
 import { RunRecorder } from "./report.js";
 
 const bytesPerToken = 4;
-const maxTries = 8;
-const retryMs = 500;
+const maxAttempts = 8;
+const retryDelayMs = 500;
 
-/** Where and how programs are run. */
+/** Options of a workload run over HTTP. */
 export interface HttpRunOptions {
-    /** URLs of daemons; each call goes to another one. */
+    /** URLs of daemons, used round-robin. */
     readonly urls: readonly string[];
     readonly key: string;
     readonly service: string;
-    /** Factor on all pauses and start times. */
+    /** Factor applied to all pauses and start times. */
     readonly timeScale: number;
     readonly onProgress?: (done: number, total: number) => void;
 }
 
-/** Counts of service calls by their idempotency key, as the caller saw them. */
+/** Number of service calls by outcome, as the client observed it. */
 export interface OrderCounts {
     readonly sent: number;
     readonly answered: number;
@@ -30,11 +30,11 @@
 
 const sleep = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Runs programs as callers do. */
+/** Runs programs against daemons through their HTTP API. */
 export class HttpRunner {
     readonly recorder = new RunRecorder();
     readonly orders = { sent: 0, answered: 0, unknown: 0 };
-    /** Problems that ended programs, by code. */
+    /** Number of programs that failed, by problem code. */
     readonly problems = new Map<string, number>();
     private readonly client: Client;
     private next = 0;
@@ -44,7 +44,7 @@
         this.client = new Client(options.key);
     }
 
-    /** Runs all programs at their times. */
+    /** Runs all programs, each at its start time. */
     async run(programs: readonly ProgramPlan[]): Promise<void> {
         const startedAt = Date.now();
         await Promise.all(programs.map(async program => {
@@ -61,15 +61,15 @@
         return this.options.urls[this.next % this.options.urls.length]!;
     }
 
-    private async runProgram(program: ProgramPlan, counted: boolean): Promise<void> {
+    private async runProgram(program: ProgramPlan, recordsLatency: boolean): Promise<void> {
         const startedAt = Date.now();
         try {
             const id = await this.open(program);
             await this.converse(id, program);
             if (program.kind.order && this.options.service !== "") {
-                await this.order(id, program);
+                await this.placeOrder(id, program);
             }
-            if (counted) {
+            if (recordsLatency) {
                 this.recorder.onFinished(
                     program.kind.agent,
                     Date.now() - startedAt,
@@ -89,9 +89,14 @@
     }
 
     private async converse(id: string, program: ProgramPlan): Promise<void> {
-        let messages: Message[] = [{ role: "system", content: filler(program.kind.agent, program.kind.systemTokens) }];
+        let messages: Message[] = [{
+            role: "system",
+            content: fillerText(program.kind.agent, program.kind.systemTokens),
+        }];
         for (const [index, call] of program.calls.entries()) {
-            const content = `${filler(`${program.name} ${index}`, call.promptTokens)} [[tokens=${call.answerTokens}]]`;
+            const content = `${
+                fillerText(`${program.name} ${index}`, call.promptTokens)
+            } [[tokens=${call.answerTokens}]]`;
             messages = [...messages, { role: "user", content }];
             const answer = await this.chat(id, index + 1, messages, call);
             messages = [...messages, { role: "assistant", content: answer.text }];
@@ -126,10 +131,10 @@
         return answer;
     }
 
-    private async order(id: string, program: ProgramPlan): Promise<void> {
+    private async placeOrder(id: string, program: ProgramPlan): Promise<void> {
         this.orders.sent += 1;
         const headers = { "idempotency-key": `${program.name}-${id.slice(-8)}` };
-        for (let attempt = 0; attempt < maxTries; attempt++) {
+        for (let attempt = 0; attempt < maxAttempts; attempt++) {
             const reply = await this.client.service(this.url(), `${this.options.service}/orders`, headers, {
                 program: program.name,
             });
@@ -141,16 +146,19 @@
                 this.orders.unknown += 1;
                 return;
             }
-            await sleep(retryMs);
+            await sleep(retryDelayMs);
         }
     }
 
-    /** Repeats what did not run, and model calls in any case. */
+    /**
+     * Makes up to `maxAttempts` attempts until a result is accepted. Model calls are retried even if they may have run;
+     * problems with a status below 429 are not retried.
+     */
     private async retry<R extends { readonly problem: Problem | undefined; }, V>(
         attempt: () => Promise<R>,
         accept: (result: R) => V | undefined,
     ): Promise<NonNullable<V>> {
-        for (let tries = 1;; tries++) {
+        for (let attempts = 1;; attempts++) {
             const result = await attempt();
             const value = accept(result);
             if (value !== undefined && value !== null && value !== "") {
@@ -158,29 +166,29 @@
             }
             const problem = result.problem;
             this.recorder.refused += problem?.verdict === "notRun" ? 1 : 0;
-            if (tries >= maxTries || (problem !== undefined && problem.status < 429)) {
-                throw new CallFailure(problem?.code ?? "cut");
+            if (attempts >= maxAttempts || (problem !== undefined && problem.status < 429)) {
+                throw new CallError(problem?.code ?? "cut");
             }
-            await sleep((problem?.retryAfterSeconds ?? 0) * 1000 * this.options.timeScale + retryMs);
+            await sleep((problem?.retryAfterSeconds ?? 0) * 1000 * this.options.timeScale + retryDelayMs);
         }
     }
 
     private onFailure(err: unknown): void {
         this.recorder.failed += 1;
-        const code = err instanceof CallFailure ? err.code : String(err);
+        const code = err instanceof CallError ? err.code : String(err);
         this.problems.set(code, (this.problems.get(code) ?? 0) + 1);
     }
 }
 
-/** A program that could not go on. */
-class CallFailure extends Error {
+/** A call that failed after all retries or must not be retried; it ends its program. */
+class CallError extends Error {
     constructor(readonly code: string) {
         super(code);
     }
 }
 
-/** Text of about so many tokens, the same for the same seed text. */
-export const filler = (seed: string, tokens: number): string => {
+/** Returns filler text of approximately the given number of tokens; it is the same for the same seed. */
+export const fillerText = (seed: string, tokens: number): string => {
     const unit = `${seed} `;
     return unit.repeat(Math.ceil(tokens * bytesPerToken / unit.length)).slice(0, tokens * bytesPerToken);
 };
--- a/packages/workload/src/index.ts
+++ b/packages/workload/src/index.ts
@@ -1,4 +1,4 @@
-/** Workloads, their programs, a caller of the daemons, and reports. */
+/** Workload definitions, program generation, a client that runs them against daemons, and reports. */
 export * from "./client.js";
 export * from "./httpRunner.js";
 export * from "./programPlan.js";
--- a/packages/workload/src/programPlan.ts
+++ b/packages/workload/src/programPlan.ts
@@ -1,9 +1,9 @@
-/** Draws the programs of a workload from a seed. */
-import { createRandom, exponential, integer, logNormal } from "./random.js";
+/** Generates the programs of a workload from a seed. */
+import { createRandom, exponential, logNormal, uniformInteger } from "./random.js";
 import type { Random } from "./random.js";
 import type { ProgramKind, Workload } from "./workloadFile.js";
 
-/** A model call that a program will make. */
+/** A planned model call of a program. */
 export interface CallPlan {
     readonly promptTokens: number;
     readonly answerTokens: number;
@@ -11,34 +11,34 @@
     readonly pauseMs: number;
     /** Tool that runs during the pause; empty for none. */
     readonly tool: string;
-    /** Program that runs during the pause. */
+    /** Helper program that runs during the pause. */
     readonly helper: ProgramPlan | undefined;
 }
 
-/** A program that will be run. */
+/** A planned program. */
 export interface ProgramPlan {
     readonly name: string;
     readonly kind: ProgramKind;
-    /** Time of its first call, in milliseconds from the start. */
+    /** Start time of the program, in milliseconds from the start of the run. */
     readonly startMs: number;
     readonly calls: readonly CallPlan[];
 }
 
 const maxSpreadFactor = 6;
-const helperCalls = 2;
+const maxHelperCalls = 2;
 
-/** Draws all programs of a workload, in the order in which they begin. */
+/** Generates all programs of a workload, ordered by start time. */
 export const planPrograms = (workload: Workload, programsPerSecond: number, seed: number): ProgramPlan[] => {
     const random = createRandom(seed);
-    const shares = workload.kinds.reduce((sum, kind) => sum + kind.share, 0);
+    const totalShare = workload.kinds.reduce((sum, kind) => sum + kind.share, 0);
     const programs = workload.kinds.flatMap(kind =>
-        planKind(workload, kind, programsPerSecond * kind.share / shares, random)
+        planKind(workload, kind, programsPerSecond * kind.share / totalShare, random)
     );
     return programs.sort((a, b) => a.startMs - b.startMs);
 };
 
-/** Mean engine tokens of a program: what must be prefilled without a cache, what with one, and what is generated. */
-export const meanDemand = (programs: readonly ProgramPlan[]): { prefill: number; generate: number; } => {
+/** Mean tokens per program that engines prefill if each history is cached, and that they generate. */
+export const meanTokensPerProgram = (programs: readonly ProgramPlan[]): { prefill: number; generate: number; } => {
     let prefill = 0;
     let generate = 0;
     for (const program of withHelpers(programs)) {
@@ -51,7 +51,7 @@
     return { prefill: prefill / programs.length, generate: generate / programs.length };
 };
 
-/** Programs with the helpers that they start. */
+/** Returns the programs and the helper programs that they start. */
 export const withHelpers = (programs: readonly ProgramPlan[]): ProgramPlan[] =>
     programs.flatMap(program => [
         program,
@@ -63,16 +63,16 @@
     if (perSecond <= 0) {
         return programs;
     }
-    let at = 0;
+    let arrivalMs = 0;
     for (;;) {
         const burst = workload.bursts.find(({ agent, atSeconds, forSeconds }) =>
-            agent === kind.agent && at >= atSeconds * 1000 && at < (atSeconds + forSeconds) * 1000
+            agent === kind.agent && arrivalMs >= atSeconds * 1000 && arrivalMs < (atSeconds + forSeconds) * 1000
         );
-        at += exponential(random, 1000 / (perSecond * (burst?.factor ?? 1)));
-        if (at >= workload.durationSeconds * 1000) {
+        arrivalMs += exponential(random, 1000 / (perSecond * (burst?.factor ?? 1)));
+        if (arrivalMs >= workload.durationSeconds * 1000) {
             return programs;
         }
-        programs.push(planProgram(`${kind.agent}-${programs.length + 1}`, workload, kind, at, random));
+        programs.push(planProgram(`${kind.agent}-${programs.length + 1}`, workload, kind, arrivalMs, random));
     }
 };
 
@@ -83,34 +83,35 @@
     startMs: number,
     random: Random,
 ): ProgramPlan => {
-    const count = integer(random, kind.calls.min, kind.calls.max);
+    const count = uniformInteger(random, kind.calls.min, kind.calls.max);
     const calls = Array.from({ length: count }, (_, index) => planCall(`${name}.${index + 1}`, workload, kind, random));
     return { name, kind, startMs, calls };
 };
 
 const planCall = (name: string, workload: Workload, kind: ProgramKind, random: Random): CallPlan => {
-    const draw = (median: number): number => Math.min(median * maxSpreadFactor, logNormal(random, median, kind.spread));
+    const drawCapped = (median: number): number =>
+        Math.min(median * maxSpreadFactor, logNormal(random, median, kind.spread));
     const tools = Object.keys(kind.tools);
-    const tool = tools.length === 0 ? "" : tools[integer(random, 0, tools.length - 1)]!;
+    const tool = tools.length === 0 ? "" : tools[uniformInteger(random, 0, tools.length - 1)]!;
     const helperKind = random() < kind.helperProbability ?
         workload.kinds.find(other => other.agent === kind.helperAgent) :
         undefined;
     const helper = helperKind === undefined ?
         undefined :
-        planProgram(`${name}-helper`, workload, asHelper(helperKind), 0, random);
+        planProgram(`${name}-helper`, workload, toHelperKind(helperKind), 0, random);
     return {
-        promptTokens: Math.max(1, Math.round(draw(kind.promptTokens))),
-        answerTokens: Math.max(1, Math.round(draw(kind.answerTokens))),
-        pauseMs: draw(kind.pauseMs) * (kind.tools[tool] ?? 1),
+        promptTokens: Math.max(1, Math.round(drawCapped(kind.promptTokens))),
+        answerTokens: Math.max(1, Math.round(drawCapped(kind.answerTokens))),
+        pauseMs: drawCapped(kind.pauseMs) * (kind.tools[tool] ?? 1),
         tool,
         helper,
     };
 };
 
-/** Helpers are short and start no helpers of their own. */
-const asHelper = (kind: ProgramKind): ProgramKind => ({
+/** Returns the kind for helper programs: they make few calls, start no helpers and place no order. */
+const toHelperKind = (kind: ProgramKind): ProgramKind => ({
     ...kind,
-    calls: { min: 1, max: helperCalls },
+    calls: { min: 1, max: maxHelperCalls },
     helperProbability: 0,
     order: false,
 });
--- a/packages/workload/src/report.ts
+++ b/packages/workload/src/report.ts
@@ -1,14 +1,14 @@
-/** Measures of a run: latencies by histogram, and counts. */
+/** Metrics of a workload run: latency histograms and counters. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 
-const precision = {
+const histogramOptions = {
     lowestDiscernibleValue: 1,
     highestTrackableValue: 36_000_000,
     numberOfSignificantValueDigits: 3 as const,
 };
 
-/** Percentiles of a latency, in milliseconds. */
+/** Latency distribution, in milliseconds. */
 export interface Latency {
     readonly count: number;
     readonly mean: number;
@@ -18,30 +18,30 @@
     readonly max: number;
 }
 
-/** Collects latencies in milliseconds. */
+/** Records latencies in a histogram. */
 export class LatencyRecorder {
-    private readonly histogram: Histogram = build(precision);
+    private readonly histogram: Histogram = build(histogramOptions);
 
     record(ms: number): void {
         this.histogram.recordValue(Math.max(1, Math.round(ms)));
     }
 
     summary(): Latency {
-        const at = (percentile: number): number => this.histogram.getValueAtPercentile(percentile);
+        const valueAt = (percentile: number): number => this.histogram.getValueAtPercentile(percentile);
         return {
             count: this.histogram.totalCount,
             mean: Math.round(this.histogram.mean * 10) / 10,
-            p50: at(50),
-            p95: at(95),
-            p99: at(99),
+            p50: valueAt(50),
+            p95: valueAt(95),
+            p99: valueAt(99),
             max: this.histogram.maxValue,
         };
     }
 }
 
-/** What a run measured. */
+/** Results of a workload run. */
 export interface RunReport {
-    /** From a program's first call to its last answer, by agent. */
+    /** Time from a program's first call to its last answer, by agent. */
     readonly programs: Readonly<Record<string, Latency>>;
     readonly allPrograms: Latency;
     readonly firstToken: Latency;
@@ -50,11 +50,11 @@
     readonly withinDeadline: number;
     readonly failed: number;
     readonly refused: number;
-    /** Share of the prompt tokens that engines had cached. */
+    /** Fraction of the prompt tokens that engines had cached. */
     readonly cachedShare: number;
 }
 
-/** Collects the measures of a run. */
+/** Collects the metrics of a run. */
 export class RunRecorder {
     finished = 0;
     withinDeadline = 0;
@@ -64,15 +64,15 @@
     cachedTokens = 0;
     readonly firstToken = new LatencyRecorder();
     readonly betweenTokens = new LatencyRecorder();
-    private readonly all = new LatencyRecorder();
+    private readonly programLatency = new LatencyRecorder();
     private readonly byAgent = new Map<string, LatencyRecorder>();
 
-    /** Notes a program that got its final answer. */
+    /** Records a program that received its final answer. */
     onFinished(agent: string, ms: number, deadlineMs: number): void {
         const recorder = this.byAgent.get(agent) ?? new LatencyRecorder();
         this.byAgent.set(agent, recorder);
         recorder.record(ms);
-        this.all.record(ms);
+        this.programLatency.record(ms);
         this.finished += 1;
         this.withinDeadline += ms <= deadlineMs ? 1 : 0;
     }
@@ -85,7 +85,7 @@
     report(): RunReport {
         return {
             programs: Object.fromEntries([...this.byAgent].map(([agent, recorder]) => [agent, recorder.summary()])),
-            allPrograms: this.all.summary(),
+            allPrograms: this.programLatency.summary(),
             firstToken: this.firstToken.summary(),
             betweenTokens: this.betweenTokens.summary(),
             finished: this.finished,
--- a/packages/workload/src/samples.ts
+++ b/packages/workload/src/samples.ts
@@ -1,14 +1,14 @@
-/** Workloads of the two users. */
+/** Sample workloads of two users. */
 import { workloadSchema } from "./workloadFile.js";
 import type { Workload } from "./workloadFile.js";
 
-const minute = 60;
+const secondsPerMinute = 60;
 
-/** Vendors plan restocks; supervisors plan routes in long chats that call helpers. */
+/** Many short restock-planning programs, and fewer long route-planning chats that start helper programs. */
 export const barbeDouceWorkload: Workload = workloadSchema.parse({
     name: "barbe-douce-day",
     user: "barbe-douce",
-    durationSeconds: 5 * minute,
+    durationSeconds: 5 * secondsPerMinute,
     service: "cart-ops",
     kinds: [
         {
@@ -40,11 +40,11 @@
     ],
 });
 
-/** Dealers' rigs are long; quotes are short, and come in bursts when growers call at planting. */
+/** Many short quotes, with a burst at planting time when growers call, and fewer long dealer rig guides. */
 export const brazosWorkload: Workload = workloadSchema.parse({
     name: "brazos-planting",
     user: "brazos",
-    durationSeconds: 5 * minute,
+    durationSeconds: 5 * secondsPerMinute,
     service: "ordersdesk",
     kinds: [
         {
@@ -72,5 +72,5 @@
             deadlineSeconds: 900,
         },
     ],
-    bursts: [{ agent: "fill-quote", atSeconds: 2 * minute, forSeconds: 40, factor: 3 }],
+    bursts: [{ agent: "fill-quote", atSeconds: 2 * secondsPerMinute, forSeconds: 40, factor: 3 }],
 });
--- a/tests/configuration/bundleChain.test.ts
+++ b/tests/configuration/bundleChain.test.ts
@@ -26,13 +26,13 @@
 const keys = { amira: operators.amira.publicKey, basil: operators.basil.publicKey };
 const region = "tunis-north";
 const addresses = { engines: ["tunis-a=127.0.0.1:1"], services: ["tunis-a=127.0.0.1:2"] };
-const textOf = (version: number): string => renderBundle(barbeDouce, addresses, keys, { version });
+const bundleText = (version: number): string => renderBundle(barbeDouce, addresses, keys, { version });
 
-const carry = (version: number, signer: "amira" | "basil" = "basil", proposer = "amira"): CarriedBundle => {
+const createBundle = (version: number, signer: "amira" | "basil" = "basil", proposer = "amira"): CarriedBundle => {
     const base: BundleDocument = {
         version,
         parent: "",
-        text: textOf(version),
+        text: bundleText(version),
         proposer,
         proposedAt: "",
         reviews: [],
@@ -61,27 +61,27 @@
     }
 };
 
-describe("the chain of bundles", () => {
-    it("should tell the slower of two racing operators who won", async () => {
+describe("bundle chain", () => {
+    it("should reject the losing proposal of two concurrent operators and name the winner", async () => {
         const chain = new BundleChain(new FakeStore());
         await withProgress(async progress => {
             const results = await Promise.allSettled([
-                chain.propose(textOf(1), 1, "amira", progress),
-                chain.propose(textOf(1), 1, "basil", progress),
+                chain.propose(bundleText(1), 1, "amira", progress),
+                chain.propose(bundleText(1), 1, "basil", progress),
             ]);
-            const lost = results.filter(result => result.status === "rejected");
-            expect(lost.length).toEqual(1);
-            expect(lost[0]!.reason).toBeA(BundleConflictError);
-            expect(String((lost[0]!.reason as Error).message).includes("amira")).toEqual(true);
+            const rejected = results.filter(result => result.status === "rejected");
+            expect(rejected.length).toEqual(1);
+            expect(rejected[0]!.reason).toBeA(BundleConflictError);
+            expect(String((rejected[0]!.reason as Error).message).includes("amira")).toEqual(true);
         });
     });
 
-    it("should settle a lost reply without a second version", async () => {
+    it("should not create a second version when the store's reply is lost", async () => {
         const store = new FakeStore();
         const chain = new BundleChain(store);
         await withProgress(async progress => {
             await chain.versions(progress);
-            const proposing = chain.propose(textOf(1), 1, "amira", progress);
+            const proposing = chain.propose(bundleText(1), 1, "amira", progress);
             store.fault = "loseReply";
             store.faultsLeft = 3;
             await proposing.catch(() => {});
@@ -101,19 +101,19 @@
         });
     });
 
-    it("should accept only versions that another operator signed off, for this region, unchanged", () => {
-        const good = carry(2);
-        expect(refusalOf(good.document, good.rollout, region, keys)).toEqual(undefined);
-        expect(refusalOf(good.document, good.rollout, "sfax-south", keys)).not.toEqual(undefined);
-        const alone = carry(2, "amira");
-        expect(refusalOf(alone.document, alone.rollout, region, keys)).not.toEqual(undefined);
-        const changed = { ...good.document, text: textOf(3) };
-        expect(refusalOf(changed, good.rollout, region, keys)).not.toEqual(undefined);
-        expect(refusalOf(good.document, good.rollout, region, { basil: keys.amira })).not.toEqual(undefined);
+    it("should accept only unchanged versions, signed off by another operator and rolled out to this region", () => {
+        const valid = createBundle(2);
+        expect(refusalOf(valid.document, valid.rollout, region, keys)).toEqual(undefined);
+        expect(refusalOf(valid.document, valid.rollout, "sfax-south", keys)).not.toEqual(undefined);
+        const selfSigned = createBundle(2, "amira");
+        expect(refusalOf(selfSigned.document, selfSigned.rollout, region, keys)).not.toEqual(undefined);
+        const changed = { ...valid.document, text: bundleText(3) };
+        expect(refusalOf(changed, valid.rollout, region, keys)).not.toEqual(undefined);
+        expect(refusalOf(valid.document, valid.rollout, region, { basil: keys.amira })).not.toEqual(undefined);
     });
 
-    it("should never take an older version, whatever arrives in whatever order", () => {
-        const versions = Array.from({ length: 5 }, (_, index) => carry(index + 1));
+    it("should never take an older version, in whatever order versions arrive", () => {
+        const versions = Array.from({ length: 5 }, (_, index) => createBundle(index + 1));
         fc.assert(
             fc.property(fc.array(fc.nat(4), { maxLength: 12 }), order => {
                 let current = 0;
@@ -130,28 +130,28 @@
         );
     });
 
-    it("should come back from the data folder while the store is away, and not go below it", () => {
+    it("should load the version from the data folder when the store is unavailable, and reject older ones", () => {
         const store = new FakeStore();
         const dataFolder = mkdtempSync(join(tmpdir(), "marigolddrift-"));
-        const create = (): Bundles =>
+        const createBundles = (): Bundles =>
             new Bundles(store, () => undefined as unknown as Membership, {
                 region,
                 operators: keys,
                 dataFolder,
                 onChange: () => {},
             }, silentLogger);
-        const first = create();
-        expect(first.take(carry(3), "test")).toEqual(true);
-        const second = create();
-        second.readFolder();
-        expect(second.version).toEqual(3);
-        expect(second.take(carry(2), "a stale watch")).toEqual(false);
-        expect(second.version).toEqual(3);
+        const beforeRestart = createBundles();
+        expect(beforeRestart.take(createBundle(3), "test")).toEqual(true);
+        const afterRestart = createBundles();
+        afterRestart.readFolder();
+        expect(afterRestart.version).toEqual(3);
+        expect(afterRestart.take(createBundle(2), "a stale watch")).toEqual(false);
+        expect(afterRestart.version).toEqual(3);
     });
 
-    it("should turn malformed bundles into errors that name section and key", () => {
-        const wrong = textOf(1).replace("slots = 64", "slots = 63");
-        expect(() => parseBundle(wrong)).toThrow(
+    it("should turn malformed bundles into errors that name the section and key", () => {
+        const invalidText = bundleText(1).replace("slots = 64", "slots = 63");
+        expect(() => parseBundle(invalidText)).toThrow(
             SettingsError,
             "bundle is not valid:\n  - [limits] slots: must be a power of two. Set \"slots\" in section [limits] accordingly.",
         );
--- a/tests/fakeStore.ts
+++ b/tests/fakeStore.ts
@@ -49,7 +49,7 @@
 
     async changes(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
         const since = () =>
-            this.state.since(revision + 1).filter(event => event.kv.key.startsWith(prefix)).map(toChange);
+            this.state.eventsSince(revision + 1).filter(event => event.kv.key.startsWith(prefix)).map(toChange);
         if (since().length === 0 && waitMs > 0) {
             await this.nextChange(prefix, waitMs);
             progress.check();
--- a/tests/fleet/program.test.ts
+++ b/tests/fleet/program.test.ts
@@ -22,7 +22,7 @@
     });
 
     const executions = (): Map<string, number> =>
-        new Map([...fleet.standins.services.values()].flatMap(service => [...service.counts()]));
+        new Map([...fleet.standins.services.values()].flatMap(service => [...service.executionsByKey()]));
 
     it("should answer calls at any daemon, streamed or not, with the same text", async () => {
         const [first, second] = await Promise.all([open(), open()]);
--- a/tests/storeFaults/intents.test.ts
+++ b/tests/storeFaults/intents.test.ts
@@ -26,7 +26,7 @@
         });
     const setDown = (on: boolean): void =>
         fleet.standins.store.server.faults.apply({ fault: "down", on, ms: 0, count: 0 });
-    const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.counts();
+    const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.executionsByKey();
 
     it("should say that an order did not run, and run it once when it is sent again", async () => {
         setDown(true);
