--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -10,7 +10,7 @@
     readonly key: string;
 }
 
-/** An admin request that could not be sent or that the daemon rejected. */
+/** An admin request that failed or that the daemon rejected. */
 export class AdminError extends VError {
     constructor(address: string, detail: string) {
         super({ name: "AdminError" }, "%s: %s. Check --admin and --admin-key.", address, detail);
--- a/packages/cli/src/bundleCommands.ts
+++ b/packages/cli/src/bundleCommands.ts
@@ -97,7 +97,7 @@
         });
     }
 
-    /** Rolls a signed-off version out to one region, or to all regions in sequence with a health gate after each. */
+    /** Rolls a signed-off version out to one region, or to all regions in sequence with health gates in between. */
     async rollout(): Promise<unknown> {
         return await this.withChain(async (chain, progress) => {
             const { value: doc } = await this.findVersion(chain, progress);
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -15,9 +15,9 @@
     readonly profile: EngineProfile;
     readonly models: readonly string[];
     readonly checksFencing: boolean;
-    /** Age of the reported load, in milliseconds. */
+    /** Age of the reported load. */
     readonly loadLagMs: number;
-    /** Delay of cache events, in milliseconds. */
+    /** Delay until cache events are visible. */
     readonly eventLagMs: number;
     /** Every n-th cache event is dropped; 0 to drop none. */
     readonly eventGapEvery: number;
--- a/packages/standins/src/serviceStandin.ts
+++ b/packages/standins/src/serviceStandin.ts
@@ -7,7 +7,7 @@
 /** Settings of one service. */
 export interface ServiceOptions {
     readonly name: string;
-    /** Duration of an execution, in milliseconds. */
+    /** Duration of an execution. */
     readonly latencyMs: number;
 }
 
--- a/packages/workload/src/programPlan.ts
+++ b/packages/workload/src/programPlan.ts
@@ -7,7 +7,7 @@
 export interface CallPlan {
     readonly promptTokens: number;
     readonly answerTokens: number;
-    /** Pause after the call, in milliseconds. */
+    /** Pause after the call. */
     readonly pauseMs: number;
     /** Tool that runs during the pause; empty for none. */
     readonly tool: string;
@@ -19,7 +19,7 @@
 export interface ProgramPlan {
     readonly name: string;
     readonly kind: ProgramKind;
-    /** Start time of the program, in milliseconds from the start of the run. */
+    /** Start time of the program, relative to the start of the run. */
     readonly startMs: number;
     readonly calls: readonly CallPlan[];
 }
@@ -37,7 +37,7 @@
     return programs.sort((a, b) => a.startMs - b.startMs);
 };
 
-/** Mean tokens per program that engines prefill if each history is cached, and that they generate. */
+/** Mean tokens per program that engines prefill, if they cache each program's history, and generate. */
 export const meanTokensPerProgram = (programs: readonly ProgramPlan[]): { prefill: number; generate: number; } => {
     let prefill = 0;
     let generate = 0;
--- a/packages/workload/src/workloadFile.ts
+++ b/packages/workload/src/workloadFile.ts
@@ -18,7 +18,7 @@
     promptTokens: tokens,
     /** Median of the tokens that a call generates. */
     answerTokens: tokens,
-    /** Median of the pauses between calls, in milliseconds. */
+    /** Median of the pauses between calls. */
     pauseMs: z.number().min(0),
     /** Standard deviation of the logarithm of tokens and pauses. */
     spread: z.number().min(0).max(2).default(0.5),
