--- a/tests/storeFaults/intents.test.ts
+++ b/tests/storeFaults/intents.test.ts
@@ -26,7 +26,7 @@
         });
     const setStoreDown = (on: boolean): void =>
         fleet.standins.store.server.faults.apply({ fault: "down", on, ms: 0, count: 0 });
-    const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.counts();
+    const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.executionsByKey();
 
     it("should report that an order did not run, and run it once when it is retried after the outage", async () => {
         setStoreDown(true);
