--- a/spec/bundleModel.ts
+++ b/spec/bundleModel.ts
@@ -1,4 +1,4 @@
-/** The configuration chain: versions that reach two daemons by the store, by each other, late, or after a restart. */
+/** Model of configuration rollout: versions arrive from the store or the peer, late or after a restart. */
 import { createKeyPair, nextBundle, signBundle } from "@marigolddrift/common";
 import type { BundleDocument, CarriedBundle, Rollout } from "@marigolddrift/common";
 
@@ -12,32 +12,32 @@
 interface DaemonView {
     /** Version in force; 0 if there is none. */
     readonly version: number;
-    /** Version in its data folder. */
-    readonly disk: number;
-    /** Highest version that it ever had in force. */
-    readonly highest: number;
-    readonly up: boolean;
+    /** Version stored in its data folder; 0 if there is none. */
+    readonly storedVersion: number;
+    /** Highest version that has been in force since its last restart. */
+    readonly highestVersion: number;
+    readonly isUp: boolean;
 }
 
-/** The world of the bundle model. */
+/** State of the bundle model. */
 export interface BundleWorld {
-    /** Newest version that is rolled out. */
+    /** Newest version that has been rolled out. */
     readonly rolledOut: number;
-    /** Whether a forged version is about. */
-    readonly forged: boolean;
+    /** Whether a forged version is in circulation. */
+    readonly isForgeryOffered: boolean;
     readonly daemons: Readonly<Record<DaemonName, DaemonView>>;
-    readonly restarts: number;
-    readonly reverted: boolean;
-    readonly forgedInForce: boolean;
+    readonly remainingRestarts: number;
+    readonly hasReverted: boolean;
+    readonly hasActivatedForgery: boolean;
 }
 
-const versions = 3;
+const maxVersion = 3;
 const forgedVersion = 9;
 const region = "r";
 const operators = { amira: createKeyPair(), basil: createKeyPair(), mallory: createKeyPair() };
 const trusted = { amira: operators.amira.publicKey, basil: operators.basil.publicKey };
 
-const carry = (version: number, signer: "basil" | "mallory"): CarriedBundle => {
+const createBundle = (version: number, signer: "basil" | "mallory"): CarriedBundle => {
     const base: BundleDocument = {
         version,
         parent: "",
@@ -59,102 +59,117 @@
     return { document, rollout };
 };
 
-const carried = new Map(
-    Array.from({ length: versions }, (_, index) => [index + 1, carry(index + 1, "basil")] as const),
+const bundlesByVersion = new Map(
+    Array.from({ length: maxVersion }, (_, index) => [index + 1, createBundle(index + 1, "basil")] as const),
 );
-carried.set(forgedVersion, carry(forgedVersion, "mallory"));
-const verdicts = new Map<string, boolean>();
+bundlesByVersion.set(forgedVersion, createBundle(forgedVersion, "mallory"));
+const acceptanceCache = new Map<string, boolean>();
 
-/** Whether the product takes a version; signatures are checked once per pair of versions. */
+/** Whether the production code accepts a version. Cached, so that signatures are verified once per pair of versions. */
 const accepts = (current: number, offered: number, mutation: Mutation): boolean => {
     const key = `${current}/${offered}`;
-    let accepted = verdicts.get(key);
+    let accepted = acceptanceCache.get(key);
     if (accepted === undefined) {
-        accepted = nextBundle(current, carried.get(offered)!, region, trusted).kind === "take";
-        verdicts.set(key, accepted);
+        accepted = nextBundle(current, bundlesByVersion.get(offered)!, region, trusted).kind === "take";
+        acceptanceCache.set(key, accepted);
     }
-    const isOlder = mutation.acceptOlder === true && offered !== forgedVersion;
-    const isForged = mutation.skipSignature === true && offered > current;
-    return accepted || isOlder || isForged;
+    const acceptsOlder = mutation.acceptOlder === true && offered !== forgedVersion;
+    const acceptsForged = mutation.skipSignature === true && offered > current;
+    return accepted || acceptsOlder || acceptsForged;
 };
 
-const offer = (world: BundleWorld, name: DaemonName, version: number, mutation: Mutation): BundleWorld => {
+const offerVersion = (world: BundleWorld, name: DaemonName, version: number, mutation: Mutation): BundleWorld => {
     const daemon = world.daemons[name];
-    if (!daemon.up || version === 0 || !accepts(daemon.version, version, mutation)) {
+    if (!daemon.isUp || version === 0 || !accepts(daemon.version, version, mutation)) {
         return world;
     }
-    const next = { version, disk: name === "x" ? version : 0, highest: Math.max(daemon.highest, version), up: true };
+    const next = {
+        version,
+        storedVersion: name === "x" ? version : 0,
+        highestVersion: Math.max(daemon.highestVersion, version),
+        isUp: true,
+    };
     return {
         ...world,
         daemons: { ...world.daemons, [name]: next },
-        reverted: world.reverted || version < daemon.highest,
-        forgedInForce: world.forgedInForce || version === forgedVersion,
+        hasReverted: world.hasReverted || version < daemon.highestVersion,
+        hasActivatedForgery: world.hasActivatedForgery || version === forgedVersion,
     };
 };
 
-const other = (name: DaemonName): DaemonName => name === "x" ? "y" : "x";
+const peerOf = (name: DaemonName): DaemonName => name === "x" ? "y" : "x";
 
-/** A daemon restarts while the store is away: it has its data folder and, if they are up, its peers. */
+/** Restarts a daemon while the store is unavailable: it loads its data folder and then asks its peer, if that is up. */
 const restart = (world: BundleWorld, name: DaemonName, mutation: Mutation): BundleWorld => {
     const daemon = world.daemons[name];
-    const peer = world.daemons[other(name)];
-    const stopped = { ...daemon, version: 0, highest: 0 };
-    let next: BundleWorld = { ...world, restarts: world.restarts - 1, daemons: { ...world.daemons, [name]: stopped } };
-    next = offer(next, name, daemon.disk, mutation);
+    const peer = world.daemons[peerOf(name)];
+    const stopped = { ...daemon, version: 0, highestVersion: 0 };
+    let next: BundleWorld = {
+        ...world,
+        remainingRestarts: world.remainingRestarts - 1,
+        daemons: { ...world.daemons, [name]: stopped },
+    };
+    next = offerVersion(next, name, daemon.storedVersion, mutation);
     if (!mutation.ignorePeers) {
-        next = offer(next, name, peer.version, mutation);
+        next = offerVersion(next, name, peer.version, mutation);
     }
-    const served = next.daemons[name].version;
-    const floor = peer.version;
-    return { ...next, reverted: next.reverted || (served > 0 && served < floor) };
+    const servedVersion = next.daemons[name].version;
+    const peerVersion = peer.version;
+    return { ...next, hasReverted: next.hasReverted || (servedVersion > 0 && servedVersion < peerVersion) };
 };
 
 export const initialBundleWorld: BundleWorld = {
     rolledOut: 0,
-    forged: false,
-    daemons: { x: { version: 0, disk: 0, highest: 0, up: true }, y: { version: 0, disk: 0, highest: 0, up: true } },
-    restarts: 2,
-    reverted: false,
-    forgedInForce: false,
+    isForgeryOffered: false,
+    daemons: {
+        x: { version: 0, storedVersion: 0, highestVersion: 0, isUp: true },
+        y: { version: 0, storedVersion: 0, highestVersion: 0, isUp: true },
+    },
+    remainingRestarts: 2,
+    hasReverted: false,
+    hasActivatedForgery: false,
 };
 
-/** All steps that may come next. */
+/** All steps that are enabled in a state. */
 export const bundleSteps = (world: BundleWorld, mutation: Mutation): Step<BundleWorld>[] => {
     const steps: Step<BundleWorld>[] = [];
-    if (world.rolledOut < versions) {
+    if (world.rolledOut < maxVersion) {
         steps.push({
             name: `version ${world.rolledOut + 1} is rolled out`,
             next: { ...world, rolledOut: world.rolledOut + 1 },
         });
     }
-    if (!world.forged) {
-        steps.push({ name: "a forged version appears", next: { ...world, forged: true } });
+    if (!world.isForgeryOffered) {
+        steps.push({ name: "a forged version appears", next: { ...world, isForgeryOffered: true } });
     }
     for (const name of ["x", "y"] as const) {
         for (let version = 1; version <= world.rolledOut; version++) {
             steps.push({
-                name: `version ${version} reaches ${name}, perhaps late`,
-                next: offer(world, name, version, mutation),
+                name: `version ${version} reaches ${name}, possibly late`,
+                next: offerVersion(world, name, version, mutation),
             });
         }
         steps.push({
             name: `${name} asks its peer`,
-            next: offer(world, name, world.daemons[other(name)].version, mutation),
+            next: offerVersion(world, name, world.daemons[peerOf(name)].version, mutation),
         });
-        if (world.forged) {
+        if (world.isForgeryOffered) {
             steps.push({
                 name: `the forged version reaches ${name}`,
-                next: offer(world, name, forgedVersion, mutation),
+                next: offerVersion(world, name, forgedVersion, mutation),
             });
         }
-        if (world.restarts > 0) {
-            steps.push({ name: `${name} restarts while the store is away`, next: restart(world, name, mutation) });
+        if (world.remainingRestarts > 0) {
+            steps.push({
+                name: `${name} restarts while the store is unavailable`,
+                next: restart(world, name, mutation),
+            });
         }
     }
     return steps;
 };
 
 export const bundleInvariants: readonly Invariant<BundleWorld>[] = [
-    { name: "an accepted configuration never reverts", holds: world => !world.reverted },
-    { name: "only signed configurations are in force", holds: world => !world.forgedInForce },
+    { name: "an accepted configuration never reverts", holds: world => !world.hasReverted },
+    { name: "only signed configurations are in force", holds: world => !world.hasActivatedForgery },
 ];
--- a/spec/callSteps.ts
+++ b/spec/callSteps.ts
@@ -1,4 +1,4 @@
-/** Steps of callers that send the call that must not be repeated. */
+/** Steps of the callers that send the non-idempotent call. */
 import { conclude, intend, lookupIntent } from "@marigolddrift/ledger";
 import type { Step } from "./step.js";
 
@@ -6,8 +6,8 @@
 import { callKey, callRequest } from "./state.js";
 import type { OwnerName, OwnerState, SendState, World } from "./state.js";
 
-import { ownerNames, startWrite, take, withSend } from "./worldSteps.js";
-/** Steps of callers that send the call, doubled, to any owner. */
+import { consumeStep, ownerNames, startWrite, withSend } from "./worldSteps.js";
+/** Steps of two duplicate requests for the call, each sent to either instance. */
 export const sendSteps = (world: World, mutation: Mutation): Step<World>[] =>
     world.sends.flatMap((send, index) => {
         if (send.phase === "idle") {
@@ -17,11 +17,11 @@
         if (!owner.alive || owner.paused) {
             return [];
         }
-        return [...giveUpSteps(world, index, send, mutation), ...dispatchSteps(world, index, send, owner, mutation)];
+        return [...deadlineSteps(world, index, send, mutation), ...dispatchSteps(world, index, send, owner, mutation)];
     });
 
 const receiveSteps = (world: World, index: number, name: OwnerName, mutation: Mutation): Step<World>[] => {
-    const { alive, claiming, paused, proven, writer } = world.owners[name];
+    const { alive, claimEpoch: claiming, paused, hasProvenLease: proven, writer } = world.owners[name];
     const isBusy = world.sends.some(send => send.at === name && (send.phase === "storing" || send.phase === "stored"));
     if (!alive || paused || !proven || writer?.kind !== "idle" || claiming > 0 || isBusy) {
         return [];
@@ -31,28 +31,28 @@
     if (found.kind === "concluded") {
         return [{
             name: `${name} replays the outcome`,
-            next: withSend(world, index, { at: name, phase: "ended", told: "ran" }),
+            next: withSend(world, index, { at: name, phase: "ended", reportedOutcome: "ran" }),
         }];
     }
     if (found.kind === "unresolved" && mutation.repeatUnresolved) {
         return [{ name: `${name} repeats the call`, next: withSend(world, index, { at: name, phase: "stored" }) }];
     }
     if (found.kind === "unresolved") {
-        const told = withSend(world, index, { at: name, phase: "ended", told: "mayHaveRun" });
-        return [{ name: `${name} says that the call may have run`, next: told }];
+        const answered = withSend(world, index, { at: name, phase: "ended", reportedOutcome: "mayHaveRun" });
+        return [{ name: `${name} reports that the call may have run`, next: answered }];
     }
     const storing = startWrite(world, name, intend(record, callKey, callRequest, 1));
     const phase = mutation.dispatchBeforeIntent ? "stored" : "storing";
     return [{ name: `${name} writes the intent`, next: withSend(storing, index, { at: name, phase }) }];
 };
 
-const giveUpSteps = (world: World, index: number, send: SendState, mutation: Mutation): Step<World>[] => {
-    if (world.left.gaveUp === 0 || send.phase !== "storing") {
+const deadlineSteps = (world: World, index: number, send: SendState, mutation: Mutation): Step<World>[] => {
+    if (world.remainingSteps.callerTimeouts === 0 || send.phase !== "storing") {
         return [];
     }
-    const phase = mutation.dispatchAfterGivingUp ? "storing" : "ended";
-    const next = withSend(take(world, "gaveUp"), index, { phase, told: "notRun" });
-    return [{ name: `the deadline of send ${index} passes`, next }];
+    const phase = mutation.dispatchAfterDeadline ? "storing" : "ended";
+    const next = withSend(consumeStep(world, "callerTimeouts"), index, { phase, reportedOutcome: "notRun" });
+    return [{ name: `the deadline of request ${index} passes`, next }];
 };
 
 const dispatchSteps = (
@@ -63,24 +63,27 @@
     mutation: Mutation,
 ): Step<World>[] => {
     const name = send.at!;
-    if (send.phase === "stored" && owner.proven && owner.writer !== undefined) {
-        const ran = { ...world, executions: world.executions + 1, executedBy: [...world.executedBy, index] };
-        const cut = {
+    if (send.phase === "stored" && owner.hasProvenLease && owner.writer !== undefined) {
+        const executed = { ...world, executions: world.executions + 1, executedBy: [...world.executedBy, index] };
+        const interrupted = {
             phase: "ended" as const,
-            told: mutation.denyDispatch ? "notRun" as const : "mayHaveRun" as const,
+            reportedOutcome: mutation.reportInterruptedAsNotRun ? "notRun" as const : "mayHaveRun" as const,
         };
         return [
             {
                 name: `${name} sends the call, and the service answers`,
-                next: withSend(ran, index, { phase: "dispatched" }),
+                next: withSend(executed, index, { phase: "dispatched" }),
+            },
+            {
+                name: `${name} sends the call, and the answer is interrupted`,
+                next: withSend(executed, index, interrupted),
             },
-            { name: `${name} sends the call, and the answer is cut`, next: withSend(ran, index, cut) },
         ];
     }
     if (send.phase === "dispatched" && owner.writer?.kind === "idle") {
-        const told = withSend(world, index, { phase: "ended", told: "ran" });
+        const answered = withSend(world, index, { phase: "ended", reportedOutcome: "ran" });
         const record = conclude(owner.writer.stored.record, callKey, { status: 200, contentType: "" });
-        return [{ name: `${name} answers and stores the outcome`, next: startWrite(told, name, record) }];
+        return [{ name: `${name} answers and stores the outcome`, next: startWrite(answered, name, record) }];
     }
     return [];
 };
--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -1,4 +1,4 @@
-/** Checks the protocol and the bundle chain, or with --mutants that each mutant is found. */
+/** Checks the invariants of the slot protocol and the bundle chain, or with --mutants that each mutant is detected. */
 import { bundleInvariants, bundleSteps, initialBundleWorld } from "./bundleModel.js";
 import { explore } from "./explorer.js";
 import type { Exploration } from "./explorer.js";
@@ -17,8 +17,12 @@
     explore(initialBundleWorld, world => bundleSteps(world, mutation), bundleInvariants, maxStates);
 
 const print = (name: string, { complete, depth, states, violation }: Exploration): void => {
-    const end = complete ? "all visited" : violation === undefined ? "limit reached" : `broken: ${violation.invariant}`;
-    console.log(`${name}: ${states} states, depth ${depth}, ${end}`);
+    const outcome = complete ?
+        "all visited" :
+        violation === undefined ?
+        "limit reached" :
+        `broken: ${violation.invariant}`;
+    console.log(`${name}: ${states} states, depth ${depth}, ${outcome}`);
 };
 
 const check = (): boolean => {
@@ -37,13 +41,13 @@
 };
 
 const checkMutants = (): boolean => {
-    let allFound = true;
+    let allDetected = true;
     for (const [name, { mutation, world }] of Object.entries(mutants)) {
         const result = world === "bundles" ? exploreBundles(mutation) : exploreScope(world, mutation);
         print(name, result);
-        allFound &&= result.violation !== undefined;
+        allDetected &&= result.violation !== undefined;
     }
-    return allFound;
+    return allDetected;
 };
 
 const passed = process.argv.includes("--mutants") ? checkMutants() : check();
--- a/spec/explorer.ts
+++ b/spec/explorer.ts
@@ -1,10 +1,10 @@
-/** Breadth-first exploration of all interleavings of a small world. */
+/** Explicit-state model checker: breadth-first search of the reachable states of a model. */
 import { createHash } from "node:crypto";
 
 import type { Invariant } from "./invariants.js";
 import type { Step } from "./step.js";
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration {
     readonly states: number;
     readonly depth: number;
@@ -25,7 +25,7 @@
 const keyOf = (world: unknown): string =>
     createHash("sha1").update(JSON.stringify(world)).digest().subarray(0, digestBytes).toString("latin1");
 
-const traceOf = <W>(visit: Visit<W>): string[] => {
+const stepsTo = <W>(visit: Visit<W>): string[] => {
     const trace: string[] = [];
     for (let at: Visit<W> | undefined = visit; at?.parent !== undefined; at = at.parent) {
         trace.unshift(at.step);
@@ -33,7 +33,7 @@
     return trace;
 };
 
-/** Explores from an initial world until all states are visited, an invariant breaks, or the limit is reached. */
+/** Explores from an initial state until all states are visited, an invariant is violated, or the limit is reached. */
 export const explore = <W>(
     initial: W,
     steps: (world: W) => readonly Step<W>[],
@@ -46,9 +46,9 @@
     for (let index = 0; index < queue.length; index++) {
         const visit = queue[index]!;
         depth = visit.depth;
-        const broken = invariants.find(invariant => !invariant.holds(visit.world));
-        if (broken !== undefined) {
-            const violation = { invariant: broken.name, trace: traceOf(visit) };
+        const violated = invariants.find(invariant => !invariant.holds(visit.world));
+        if (violated !== undefined) {
+            const violation = { invariant: violated.name, trace: stepsTo(visit) };
             return { states: seen.size, depth, complete: false, violation };
         }
         if (seen.size >= maxStates) {
--- a/spec/invariants.ts
+++ b/spec/invariants.ts
@@ -1,4 +1,4 @@
-/** The brief's invariants, by name, over the explorer's world. */
+/** Safety invariants of the slot protocol, checked in every state of the model. */
 import { callKey, programBudget } from "./state.js";
 import type { OwnerName, World } from "./state.js";
 
@@ -10,7 +10,7 @@
 
 const provenOwners = (world: World): OwnerName[] =>
     (["a", "b"] as const).filter(name => {
-        const { alive, paused, proven, writer, claiming } = world.owners[name];
+        const { alive, paused, hasProvenLease: proven, writer, claimEpoch: claiming } = world.owners[name];
         return alive && !paused && proven && writer !== undefined && writer.kind !== "lost" && claiming === 0;
     });
 
@@ -18,7 +18,8 @@
     { name: "a call marked as not repeatable runs at most once", holds: world => world.executions <= 1 },
     {
         name: "a send that was refused as not run did not run",
-        holds: world => world.sends.every((send, index) => send.told !== "notRun" || !world.executedBy.includes(index)),
+        holds: world =>
+            world.sends.every((send, index) => send.reportedOutcome !== "notRun" || !world.executedBy.includes(index)),
     },
     { name: "a program never spends beyond its budget", holds: world => world.spent <= programBudget },
     {
@@ -27,8 +28,8 @@
     },
     {
         name: "a call is reported as run only if it ran",
-        holds: world => world.sends.every(send => send.told !== "ran" || world.executions > 0),
+        holds: world => world.sends.every(send => send.reportedOutcome !== "ran" || world.executions > 0),
     },
-    { name: "one owner writes under an epoch", holds: world => !world.epochShared },
+    { name: "one owner writes under an epoch", holds: world => !world.hasSharedEpoch },
     { name: "at most one instance provably owns a slot", holds: world => provenOwners(world).length <= 1 },
 ];
--- a/spec/mutants.ts
+++ b/spec/mutants.ts
@@ -1,52 +1,52 @@
-/** Faults that are put into the protocol, each of which the explorer must find. */
+/** Mutants of the protocol; the explorer must find an invariant violation in each of them. */
 
-/** Switches of the model; all off is the protocol as it is. */
+/** Faults that can be switched on in the model; with none of them it is the unmodified protocol. */
 export interface Mutation {
-    /** Writes are applied whatever the revision. */
-    readonly dropFence?: boolean;
+    /** The store applies writes without checking the revision. */
+    readonly skipRevisionCheck?: boolean;
     /** A claim does not check that the former owner's lease has ended. */
-    readonly ignoreLease?: boolean;
-    /** A write without reply counts as applied. */
+    readonly skipFormerLeaseCheck?: boolean;
+    /** A write whose reply was lost is assumed to be applied. */
     readonly assumeApplied?: boolean;
     /** Tokens are spent before their reservation is stored. */
-    readonly spendBeforeEscrow?: boolean;
+    readonly spendBeforeReservation?: boolean;
     /** The call is sent before its intent is stored. */
     readonly dispatchBeforeIntent?: boolean;
     /** A new owner repeats a call whose outcome is unknown. */
     readonly repeatUnresolved?: boolean;
-    /** A caller whose deadline passed is told notRun, but the call is sent later. */
-    readonly dispatchAfterGivingUp?: boolean;
-    /** A new owner counts only half of what was reserved as spent. */
-    readonly forgetSpending?: boolean;
-    /** An owner that was paused does not check its lease when it wakes. */
-    readonly trustAfterPause?: boolean;
-    /** A cut call is reported as notRun. */
-    readonly denyDispatch?: boolean;
+    /** The caller is answered notRun when its deadline passes, but the call is sent later. */
+    readonly dispatchAfterDeadline?: boolean;
+    /** A new owner counts only half of the reserved tokens as spent. */
+    readonly undercountReserved?: boolean;
+    /** An owner does not check its lease when it resumes after a pause. */
+    readonly skipLeaseCheckAfterPause?: boolean;
+    /** A call whose answer was interrupted is reported as notRun. */
+    readonly reportInterruptedAsNotRun?: boolean;
     /** A daemon accepts an older bundle. */
     readonly acceptOlder?: boolean;
     /** A daemon accepts a bundle without checking its signatures. */
     readonly skipSignature?: boolean;
-    /** A restarted daemon serves its own copy although a peer served a newer one. */
+    /** A restarted daemon serves its stored bundle although its peer serves a newer one. */
     readonly ignorePeers?: boolean;
 }
 
-/** Mutants by name, with the scope in which each must be found. */
+/** Mutants by name, with the scope in which each must be detected. */
 export const mutants: Readonly<
     Record<string, { readonly world: "leases" | "deadlines" | "budget" | "bundles"; readonly mutation: Mutation; }>
 > = {
-    "drop the fence": { world: "deadlines", mutation: { dropFence: true } },
-    "claim while the former lease holds": { world: "deadlines", mutation: { ignoreLease: true } },
+    "drop the fence": { world: "deadlines", mutation: { skipRevisionCheck: true } },
+    "claim while the former lease holds": { world: "deadlines", mutation: { skipFormerLeaseCheck: true } },
     "skip the read-back, and assume that the write was applied": {
         world: "deadlines",
         mutation: { assumeApplied: true },
     },
-    "spend before escrow": { world: "budget", mutation: { spendBeforeEscrow: true } },
+    "spend before escrow": { world: "budget", mutation: { spendBeforeReservation: true } },
     "dispatch before intent": { world: "deadlines", mutation: { dispatchBeforeIntent: true } },
     "repeat an unresolved call": { world: "deadlines", mutation: { repeatUnresolved: true } },
-    "dispatch after giving up": { world: "deadlines", mutation: { dispatchAfterGivingUp: true } },
-    "forget what a former owner reserved": { world: "budget", mutation: { forgetSpending: true } },
-    "trust the lease after a pause": { world: "leases", mutation: { trustAfterPause: true } },
-    "say notRun of a call that was cut": { world: "deadlines", mutation: { denyDispatch: true } },
+    "dispatch after giving up": { world: "deadlines", mutation: { dispatchAfterDeadline: true } },
+    "forget what a former owner reserved": { world: "budget", mutation: { undercountReserved: true } },
+    "trust the lease after a pause": { world: "leases", mutation: { skipLeaseCheckAfterPause: true } },
+    "say notRun of a call that was cut": { world: "deadlines", mutation: { reportInterruptedAsNotRun: true } },
     "accept an older bundle": { world: "bundles", mutation: { acceptOlder: true } },
     "accept an unsigned bundle": { world: "bundles", mutation: { skipSignature: true } },
     "serve an older bundle than peers do": { world: "bundles", mutation: { ignorePeers: true } },
--- a/spec/state.ts
+++ b/spec/state.ts
@@ -1,74 +1,74 @@
-/** State of the small world that the explorer walks through: two owners, one slot, one program, one key. */
+/** State of the protocol model: two instances, one slot, one program and one idempotency key. */
 import type { BudgetAccount, SlotRecord, StoredRecord, WriterState } from "@marigolddrift/ledger";
 
 export type OwnerName = "a" | "b";
 
-/** What a caller was told of a send, or undefined while it waits. */
-export type Told = "notRun" | "mayHaveRun" | "ran";
+/** Outcome of a request as reported to its caller; undefined while the caller waits. */
+export type ReportedOutcome = "notRun" | "mayHaveRun" | "ran";
 
-/** A caller's send of the call that must not be repeated. */
+/** A caller's request for the non-idempotent call. */
 export interface SendState {
-    /** Owner that received it. */
+    /** Instance that received the request. */
     readonly at: OwnerName | undefined;
     readonly phase: "idle" | "storing" | "stored" | "dispatched" | "ended";
-    readonly told: Told | undefined;
+    readonly reportedOutcome: ReportedOutcome | undefined;
 }
 
-/** A write that the store may apply at any later moment. */
-export interface FlyingWrite {
-    readonly from: OwnerName;
+/** A write in transit, which the store may apply at any later time. */
+export interface PendingWrite {
+    readonly issuer: OwnerName;
     readonly revision: number;
     readonly next: SlotRecord;
-    /** Instance whose key must not exist. */
+    /** Instance whose lease key must not exist for the write to be applied. */
     readonly fence: OwnerName | undefined;
-    /** Whether its owner still waits for the reply. */
+    /** Whether the issuer still waits for the reply. */
     readonly awaited: boolean;
 }
 
-/** One instance. */
+/** State of one instance. */
 export interface OwnerState {
     readonly alive: boolean;
     readonly paused: boolean;
-    /** Whether the instance believes that its lease holds. */
-    readonly proven: boolean;
-    /** Whether it believes to own the slot, or is claiming it. */
+    /** Whether the instance considers its lease valid; the store may have expired it already. */
+    readonly hasProvenLease: boolean;
+    /** Writer of the slot; defined while the instance considers itself the owner or is claiming the slot. */
     readonly writer: WriterState | undefined;
-    /** Epoch that a claim under way will have; 0 if there is none. */
-    readonly claiming: number;
+    /** Epoch of the claim in progress; 0 if there is none. */
+    readonly claimEpoch: number;
     readonly account: BudgetAccount | undefined;
-    /** Reservation that is being stored; 0 if there is none. */
-    readonly reserving: number;
+    /** Tokens of the reservation that is being stored; 0 if there is none. */
+    readonly pendingReservation: number;
     readonly nonce: number;
 }
 
-/** The whole world. */
+/** State of the whole model. */
 export interface World {
     readonly store: StoredRecord | undefined;
     readonly revision: number;
-    /** Instances whose lease the store holds. */
+    /** Whether the store holds each instance's lease. */
     readonly leases: Readonly<Record<OwnerName, boolean>>;
     readonly owners: Readonly<Record<OwnerName, OwnerState>>;
-    readonly flying: readonly FlyingWrite[];
+    readonly pendingWrites: readonly PendingWrite[];
     readonly sends: readonly SendState[];
-    /** Executions of the call at its service. */
+    /** Number of times that the service executed the call. */
     readonly executions: number;
-    /** Send by which the call was executed. */
+    /** Index of the request that caused each execution. */
     readonly executedBy: readonly number[];
-    /** Tokens that the program really spent. */
+    /** Tokens that the program actually spent. */
     readonly spent: number;
-    /** Owners that changed the record, by epoch. */
-    readonly writers: Readonly<Record<number, OwnerName>>;
-    /** Whether two owners wrote under the same epoch. */
-    readonly epochShared: boolean;
-    /** Steps that are still allowed of each kind. */
-    readonly left: {
-        readonly lost: number;
+    /** First instance that wrote the record in each epoch. */
+    readonly writersByEpoch: Readonly<Record<number, OwnerName>>;
+    /** Whether two instances wrote in the same epoch. */
+    readonly hasSharedEpoch: boolean;
+    /** Remaining number of steps of each kind; bounds the state space. */
+    readonly remainingSteps: {
+        readonly replyLosses: number;
         readonly pauses: number;
         readonly crashes: number;
         readonly spends: number;
-        readonly gaveUp: number;
+        readonly callerTimeouts: number;
         readonly claims: number;
-        readonly lapses: number;
+        readonly leaseLapses: number;
     };
 }
 
@@ -79,41 +79,52 @@
 export const budgetChunk = 1;
 const deadline = 1_000_000;
 
-/** Deadline of the program; it does not pass in the model. */
+/** Deadline of the program; it is never reached in the model. */
 export const programDeadline = deadline;
 
-const newOwner: OwnerState = {
+const initialOwner: OwnerState = {
     alive: true,
     paused: false,
-    proven: true,
+    hasProvenLease: true,
     writer: undefined,
-    claiming: 0,
+    claimEpoch: 0,
     account: undefined,
-    reserving: 0,
+    pendingReservation: 0,
     nonce: 0,
 };
-const newSend: SendState = { at: undefined, phase: "idle", told: undefined };
+const initialSend: SendState = { at: undefined, phase: "idle", reportedOutcome: undefined };
 
-const emptyWorld: World = {
+const initialWorld: World = {
     store: undefined,
     revision: 0,
     leases: { a: true, b: true },
-    owners: { a: newOwner, b: newOwner },
-    flying: [],
+    owners: { a: initialOwner, b: initialOwner },
+    pendingWrites: [],
     sends: [],
     executions: 0,
     executedBy: [],
     spent: 0,
-    writers: {},
-    epochShared: false,
-    left: { lost: 1, pauses: 1, crashes: 1, spends: 0, gaveUp: 1, claims: 2, lapses: 2 },
+    writersByEpoch: {},
+    hasSharedEpoch: false,
+    remainingSteps: { replyLosses: 1, pauses: 1, crashes: 1, spends: 0, callerTimeouts: 1, claims: 2, leaseLapses: 2 },
 };
 
-const withLeft = (left: Partial<World["left"]>): World["left"] => ({ ...emptyWorld.left, ...left });
+const withRemainingSteps = (left: Partial<World["remainingSteps"]>): World["remainingSteps"] => ({
+    ...initialWorld.remainingSteps,
+    ...left,
+});
 
-/** Scopes that are explored one after the other; together they would have too many states. */
+/** Scopes that are explored separately, because their combination has too many states. */
 export const scopes: Readonly<Record<"leases" | "deadlines" | "budget", World>> = {
-    leases: { ...emptyWorld, sends: [newSend, newSend], left: withLeft({ crashes: 0, gaveUp: 0, lapses: 1 }) },
-    deadlines: { ...emptyWorld, sends: [newSend, newSend], left: withLeft({ lapses: 0 }) },
-    budget: { ...emptyWorld, left: withLeft({ lapses: 0, spends: 4, gaveUp: 0 }) },
+    leases: {
+        ...initialWorld,
+        sends: [initialSend, initialSend],
+        remainingSteps: withRemainingSteps({ crashes: 0, callerTimeouts: 0, leaseLapses: 1 }),
+    },
+    deadlines: {
+        ...initialWorld,
+        sends: [initialSend, initialSend],
+        remainingSteps: withRemainingSteps({ leaseLapses: 0 }),
+    },
+    budget: { ...initialWorld, remainingSteps: withRemainingSteps({ leaseLapses: 0, spends: 4, callerTimeouts: 0 }) },
 };
--- a/spec/step.ts
+++ b/spec/step.ts
@@ -1,6 +1,6 @@
-/** Steps of a model. */
+/** Transitions of a state-space model. */
 
-/** A step with the world that it leads to. */
+/** A named transition and the state that it leads to. */
 export interface Step<W> {
     readonly name: string;
     readonly next: W;
--- a/spec/worldSteps.ts
+++ b/spec/worldSteps.ts
@@ -1,33 +1,33 @@
-/** Changes of the world that several steps share. */
+/** State changes shared by several steps. */
 import { beginWrite, inheritAccount, onReserved, openWriter } from "@marigolddrift/ledger";
 
 import type { BudgetAccount, SlotRecord, StoredRecord, WriterState } from "@marigolddrift/ledger";
 
 import type { Mutation } from "./mutants.js";
 import { budgetChunk, programBudget, programName } from "./state.js";
-import type { FlyingWrite, OwnerName, OwnerState, SendState, World } from "./state.js";
+import type { OwnerName, OwnerState, PendingWrite, SendState, World } from "./state.js";
 
 export const ownerNames: readonly OwnerName[] = ["a", "b"];
 
-/** Changes one owner. */
+/** Returns the state with one instance changed. */
 export const withOwner = (world: World, name: OwnerName, change: Partial<OwnerState>): World => ({
     ...world,
     owners: { ...world.owners, [name]: { ...world.owners[name], ...change } },
 });
 
-/** Changes one send. */
+/** Returns the state with one request changed. */
 export const withSend = (world: World, index: number, change: Partial<SendState>): World => ({
     ...world,
     sends: world.sends.map((send, at) => at === index ? { ...send, ...change } : send),
 });
 
-/** Uses up one step of a kind. */
-export const take = (world: World, kind: keyof World["left"]): World => ({
+/** Decrements the remaining number of steps of a kind. */
+export const consumeStep = (world: World, kind: keyof World["remainingSteps"]): World => ({
     ...world,
-    left: { ...world.left, [kind]: world.left[kind] - 1 },
+    remainingSteps: { ...world.remainingSteps, [kind]: world.remainingSteps[kind] - 1 },
 });
 
-/** Starts a write: it flies until the store applies, refuses or loses it. */
+/** Issues a write; it stays pending until the store applies or refuses it. */
 export const startWrite = (
     world: World,
     name: OwnerName,
@@ -41,68 +41,80 @@
     if (writer.kind !== "writing") {
         return world;
     }
-    const write: FlyingWrite = {
-        from: name,
+    const write: PendingWrite = {
+        issuer: name,
         revision: writer.stored.revision,
         next: writer.next,
         fence,
         awaited: true,
     };
-    return withOwner({ ...world, flying: [...world.flying, write] }, name, { writer, nonce: owner.nonce + 1 });
+    return withOwner({ ...world, pendingWrites: [...world.pendingWrites, write] }, name, {
+        writer,
+        nonce: owner.nonce + 1,
+    });
 };
 
-/** Sends a write again that the read-back showed as not applied. */
-export const resend = (world: World, name: OwnerName, writer: WriterState): World => {
+/** Sets an instance's writer and, if the read-back showed that its write was not applied, sends the write again. */
+export const applyWriterState = (world: World, name: OwnerName, writer: WriterState): World => {
     if (writer.kind !== "writing") {
         return withOwner(world, name, { writer });
     }
-    const write: FlyingWrite = {
-        from: name,
+    const write: PendingWrite = {
+        issuer: name,
         revision: writer.stored.revision,
         next: writer.next,
         fence: undefined,
         awaited: true,
     };
-    return withOwner({ ...world, flying: [...world.flying, write] }, name, { writer });
+    return withOwner({ ...world, pendingWrites: [...world.pendingWrites, write] }, name, { writer });
 };
 
-/** Makes an owner forget the slot, and answer what it was working on. */
-export const lose = (world: World, name: OwnerName): World => {
-    const next = withOwner(world, name, { writer: undefined, account: undefined, claiming: 0, reserving: 0 });
+/** Drops an instance's claim to the slot and answers its requests in progress. */
+export const abandonSlot = (world: World, name: OwnerName): World => {
+    const next = withOwner(world, name, {
+        writer: undefined,
+        account: undefined,
+        claimEpoch: 0,
+        pendingReservation: 0,
+    });
     const ended = next.sends.map(send =>
         send.at === name && send.phase !== "ended" && send.phase !== "idle" ?
             {
                 ...send,
                 phase: "ended" as const,
-                told: send.told ?? (send.phase === "dispatched" ? "mayHaveRun" as const : "notRun" as const),
+                reportedOutcome: send.reportedOutcome ??
+                    (send.phase === "dispatched" ? "mayHaveRun" as const : "notRun" as const),
             } :
             send
     );
     return { ...next, sends: ended };
 };
 
-const inherit = (record: SlotRecord, mutation: Mutation): BudgetAccount => {
+const inheritBudget = (record: SlotRecord, mutation: Mutation): BudgetAccount => {
     const entry = record.programs[programName];
-    const reserved = mutation.forgetSpending ? Math.floor((entry?.reserved ?? 0) / 2) : entry?.reserved ?? 0;
+    const reserved = mutation.undercountReserved ? Math.floor((entry?.reserved ?? 0) / 2) : entry?.reserved ?? 0;
     return inheritAccount(programBudget, budgetChunk, reserved);
 };
 
-/** Continues an owner's work after its writer has become idle. */
-export const afterStored = (world: World, name: OwnerName, mutation: Mutation): World => {
+/** Continues an instance's work after its write has settled. */
+export const continueAfterWrite = (world: World, name: OwnerName, mutation: Mutation): World => {
     const owner = world.owners[name];
     if (owner.writer?.kind === "lost") {
-        return lose(world, name);
+        return abandonSlot(world, name);
     }
     if (owner.writer?.kind !== "idle") {
         return world;
     }
     const { record } = owner.writer.stored;
     let next = world;
-    if (owner.claiming > 0) {
-        next = withOwner(next, name, { claiming: 0, account: inherit(record, mutation) });
+    if (owner.claimEpoch > 0) {
+        next = withOwner(next, name, { claimEpoch: 0, account: inheritBudget(record, mutation) });
     }
-    if (owner.reserving > 0 && owner.account !== undefined) {
-        next = withOwner(next, name, { reserving: 0, account: onReserved(owner.account, owner.reserving) });
+    if (owner.pendingReservation > 0 && owner.account !== undefined) {
+        next = withOwner(next, name, {
+            pendingReservation: 0,
+            account: onReserved(owner.account, owner.pendingReservation),
+        });
     }
     const sends = next.sends.map(send =>
         send.at === name && send.phase === "storing" ? { ...send, phase: "stored" as const } : send
