--- a/bench/policy/users.ts
+++ b/bench/policy/users.ts
@@ -1,4 +1,4 @@
-/** The two users' zones, instances and engines, as the brief gives them. */
+/** Availability zones, instances and engines of the two users, as stated in the requirements. */
 import type { BenchZone } from "./benchRun.js";
 
 /** A user of the bench. */
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,4 @@
-// Linter settings; the table of allowed imports stands in tools/imports.js.
+// Linter settings; the import boundaries are defined in tools/imports.js.
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles the program for the platform into one file, which starts faster and takes less memory than many modules. It is
-// made from the sources, so that nothing is written beside target/.
+// Bundles the platform's program into a single file, which starts faster and uses less memory than separate modules. It
+// is built from the sources, so that nothing is written outside target/.
 import { build } from "esbuild";
 import { readdirSync } from "node:fs";
 import { resolve } from "node:path";
--- a/tools/imports.js
+++ b/tools/imports.js
@@ -1,4 +1,4 @@
-// What each folder may import of the project's own packages and folders; everything else is refused by the linter.
+// Import boundaries: which of the project's own packages and folders each folder may import. The linter rejects others.
 
 /** Packages of this workspace that code in a folder may import. */
 const allowedPackages = {
@@ -18,7 +18,7 @@
     "tests": ["common", "policy", "dispatch", "ledger", "store", "daemon", "standins", "workload", "cli", "gateway", "platform"],
 };
 
-/** Folders of the daemon that code in one of its folders must not import. */
+/** Folders of the daemon that each of its layers must not import. */
 const deniedFolders = {
     "packages/daemon/src/lifecycles": ["controllers", "filters", "http", "peers", "programs", "upstreams"],
     "packages/daemon/src/peers": ["controllers", "filters", "http", "programs", "upstreams"],
@@ -26,7 +26,7 @@
     "packages/daemon/src/upstreams": ["controllers", "filters", "http", "peers", "programs"],
 };
 
-/** Modules of the runtime that must not be used in a daemon or in pure code. */
+/** Node.js modules that must not be used in servers or in code without side effects. */
 const deniedModules = {
     "packages/daemon/src": ["node:child_process", "node:cluster", "node:worker_threads"],
     "packages/gateway/src": ["node:child_process", "node:cluster", "node:worker_threads"],
