--- a/packages/gateway/src/budgets/budgetAccount.ts
+++ b/packages/gateway/src/budgets/budgetAccount.ts
@@ -61,7 +61,7 @@
     }
 
     /** Copies the record with this account's allocation changed by `delta` tokens. */
-    withTakenDelta(delta: number, nonce: string): BudgetRecord {
+    withAllocationDelta(delta: number, nonce: string): BudgetRecord {
         const taken = { ...this.record.taken, [this.holder]: (this.record.taken[this.holder] ?? 0) + delta };
         return { total: this.record.total, taken, nonce };
     }
--- a/packages/gateway/src/budgets/budgets.ts
+++ b/packages/gateway/src/budgets/budgets.ts
@@ -165,7 +165,7 @@
 
     /** Changes the allocation by `delta`. On a conflict, only refreshes the account and resolves to false. */
     private async updateRecord(account: BudgetAccount, delta: number, progress: Progress): Promise<boolean> {
-        const next = account.withTakenDelta(delta, `${this.instance}/${this.nextNonce++}`);
+        const next = account.withAllocationDelta(delta, `${this.instance}/${this.nextNonce++}`);
         const put = { key: budgetKey(account.program), expected: account.revision, value: packBudget(next) };
         const result = delta > 0 ? await this.writer.putFailFast(put, progress) : await this.writer.put(put, progress);
         if (result.kind === "conflict") {
--- a/packages/gateway/src/entry/entryServer.ts
+++ b/packages/gateway/src/entry/entryServer.ts
@@ -74,7 +74,7 @@
         this.server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveSlackMs;
     }
 
-    /** Refuses new connections and closes idle ones; callers retry a request that was not read at another instance. */
+    /** Refuses new connections and closes idle ones. Callers retry requests that were not read at another instance. */
     stopAccepting(): void {
         this.server.close();
         this.server.closeIdleConnections();
@@ -206,7 +206,11 @@
 const checkHeaderBytes = (req: IncomingMessage, maxBytes: number): void => {
     const headerBytes = req.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
     if (headerBytes + (req.url?.length ?? 0) > maxBytes) {
-        throw new ProblemError("headers_too_large", "notRun", `The head is larger than ${maxBytes} bytes.`);
+        throw new ProblemError(
+            "headers_too_large",
+            "notRun",
+            `The request's head (URL and headers) is larger than ${maxBytes} bytes.`,
+        );
     }
 };
 
--- a/packages/gateway/src/filters/answers.ts
+++ b/packages/gateway/src/filters/answers.ts
@@ -33,7 +33,7 @@
     }
 }
 
-/** Forwards a stream as it arrives; the user of this class ends it. */
+/** Forwards a stream as it arrives. `end` must be called once the stream is known to be complete. */
 export class StreamedResponse implements ResponseSink {
     readonly events = new EventCollector();
     /** Monotonic time at which the first data was forwarded. */
--- a/packages/gateway/src/filters/forwardFilter.ts
+++ b/packages/gateway/src/filters/forwardFilter.ts
@@ -80,7 +80,7 @@
     private async send(ctx: CallContext, lease: DispatchLease): Promise<AttemptResult> {
         const upstream = this.options.upstreams.get(lease.worker);
         if (upstream === undefined) {
-            return { kind: "notRun", detail: "the upstream has just left", unreachable: true };
+            return { kind: "notRun", detail: "the upstream was removed before the call was sent", unreachable: true };
         }
         const response = ctx.route.isStreaming ? new StreamedResponse(ctx.res) : new BufferedResponse();
         const { prompt } = ctx.head;
@@ -144,7 +144,7 @@
     private checkRefusals(ctx: CallContext, refusals: number, detail: string): void {
         ctx.progress.throwIfAborted();
         if (refusals >= maxRefusals) {
-            throw new ProblemError("no_upstream", "notRun", `No upstream took the call: ${detail}.`, {
+            throw new ProblemError("no_upstream", "notRun", `No upstream accepted the call: ${detail}.`, {
                 retryAfterSeconds,
             });
         }
@@ -153,7 +153,7 @@
     private checkRuns(ctx: CallContext, runs: number, detail: string): void {
         const mayRepeat = ctx.route.idempotent && runs < ctx.route.maxUpstreams && !ctx.res.headersSent;
         if (!mayRepeat || ctx.progress.signal.aborted) {
-            throw new ProblemError("upstream_failed", "mayHaveRun", `The upstream did not answer whole: ${detail}.`);
+            throw new ProblemError("upstream_failed", "mayHaveRun", `The upstream sent no complete reply: ${detail}.`);
         }
     }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -84,7 +84,7 @@
     private readonly loadExchange: LoadExchange;
     private readonly storeArchive: StoreArchive;
     private readonly journalArchive: JournalArchive;
-    private readonly localPeer: LocalInstance;
+    private readonly localInstance: LocalInstance;
     private readonly config: WatchedPrefix;
     private readonly upstreamEntries: WatchedPrefix;
     private readonly dispatcher: Dispatcher<QueuedCall>;
@@ -98,12 +98,12 @@
         const { log, layout } = options;
         const random = options.random ?? Math.random;
         this.log = log;
-        this.store = new RelayStore(options.store, except => this.peers.pickRelay(except), log);
+        this.store = new RelayStore(options.store, excluded => this.peers.pickRelay(excluded), log);
         const store = this.store;
         this.peers = this.createPeers();
         this.peerServer = new PeerServer(
             () => this.peers.key,
-            (question, progress) => this.answerPeer(question, progress),
+            (request, progress) => this.handleRequest(request, progress),
             log,
         );
         const topology = { zone: options.zone, region: options.regionOf(options.zone), regionOf: options.regionOf };
@@ -114,15 +114,15 @@
             log,
         );
         const address = (): string => peerName({ host: options.host, port: this.peerPort });
-        this.localPeer = { instance: options.instance, region: topology.region, address };
-        this.loadExchange = new LoadExchange(this.localPeer, this.peers, () => this.upstreams.localLoad(), log);
+        this.localInstance = { instance: options.instance, region: topology.region, address };
+        this.loadExchange = new LoadExchange(this.localInstance, this.peers, () => this.upstreams.localLoad(), log);
         const pool = new UpstreamPool(topology, this.upstreams, upstream => this.loadExchange.peerLoadOf(upstream));
         this.writer = new BatchWriter(store, batchDelayMs, log);
         this.storeArchive = new StoreArchive(store, this.writer, log);
         this.journalArchive = new JournalArchive(this.peers, this.storeArchive, options, log);
         this.turns = new TurnStore(this.journalArchive, log);
         this.budgets = new Budgets(options.instance, this.writer, store, this.peers, log);
-        this.regionBudgets = new RegionBudgets(this.localPeer, this.budgets, this.peers, log);
+        this.regionBudgets = new RegionBudgets(this.localInstance, this.budgets, this.peers, log);
         const policy = { place: createPlacement("expectedFinishSampled"), order: nextCall, admission: true, random };
         this.dispatcher = new Dispatcher(pool, policy, log, this.metrics);
         this.entry = this.createEntry(pool, random);
@@ -193,38 +193,38 @@
     private createPeers(): Peers {
         const { instance, zone, regionOf, host, machine } = this.options;
         const region = regionOf(zone);
-        const self = () => ({ instance, host, zone, region, port: this.peerPort, keepsTurns: false });
-        return new Peers(machine, self, this.store, this.log);
+        const localAddress = () => ({ instance, host, zone, region, port: this.peerPort, keepsTurns: false });
+        return new Peers(machine, localAddress, this.store, this.log);
     }
 
-    private async answerPeer(question: PeerRequest | JournalRequest, progress: Progress): Promise<unknown> {
-        switch (question.kind) {
+    private async handleRequest(request: PeerRequest | JournalRequest, progress: Progress): Promise<unknown> {
+        switch (request.kind) {
             case "returnBudget":
-                return await this.budgets.returnUnspent(question.program, progress);
+                return await this.budgets.returnUnspent(request.program, progress);
             case "followed": {
-                const { prefix, revision, waitMs } = question;
+                const { prefix, revision, waitMs } = request;
                 const { reader } = prefix === this.options.layout.configKey ? this.config : this.upstreamEntries;
-                return await reader.answerPeer(prefix, revision, waitMs, progress);
+                return await reader.readForPeer(prefix, revision, waitMs, progress);
             }
             case "shareLoad":
-                return this.loadExchange.onReport(question.instance, question.load);
+                return this.loadExchange.onReport(request.instance, request.load);
             case "loadTurn": {
-                const turn = await this.journalArchive.loadForPeer(question, progress);
+                const turn = await this.journalArchive.loadForPeer(request, progress);
                 return turn && packTurn(turn);
             }
             case "reserveTokens":
-                return await this.regionBudgets.reserveForPeer(question, progress);
+                return await this.regionBudgets.reserveForPeer(request, progress);
             case "settleTokens":
-                return await this.regionBudgets.settleForPeer(question);
+                return await this.regionBudgets.settleForPeer(request);
             case "get":
             case "range":
             case "changes":
             case "txn":
-                return await handleStoreRequest(this.options.store, question, progress);
+                return await handleStoreRequest(this.options.store, request, progress);
             case "keepTurn":
             case "findTurn":
             case "turnsFlushed":
-                throw new Error("this instance keeps no turns");
+                throw new Error("this instance is not a journal server and stores no turns");
         }
     }
 
@@ -262,7 +262,7 @@
     ): WatchedPrefix {
         const { storeSilenceMs } = this.options;
         const feed = new ChangeFeed();
-        const reader = new RegionalStoreReader(this.localPeer, this.store, this.peers, feed, this.log);
+        const reader = new RegionalStoreReader(this.localInstance, this.store, this.peers, feed, this.log);
         const outages = {
             onDisconnected: () => this.storeOutageUntil = Infinity,
             onReconnected: () => this.storeOutageUntil = performance.now() + postOutageWindowMs,
--- a/packages/gateway/src/gatewayOptions.ts
+++ b/packages/gateway/src/gatewayOptions.ts
@@ -31,7 +31,7 @@
     readonly store: VersionedStore;
     readonly layout: StoreLayout;
     readonly protocol: CallProtocol;
-    /** Number of machines with disks that may be lost without the loss of a turn. */
+    /** Number of journal servers that may be lost at once without losing a turn. */
     readonly toleratedLosses: number;
     /** Longest time within which an unresponsive connection to the store must be detected. */
     readonly storeSilenceMs: number;
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -3,8 +3,8 @@
 import type { Compare, Put, StoreChange, StoredValue } from "@marigolddrift/store";
 import { Packr } from "msgpackr";
 
-/** Store changes that a peer has received from its own watch. */
-export interface FollowedBatch {
+/** Store changes that a peer has read from the store, encoded for the wire. */
+export interface PackedChangeBatch {
     /** Encoded by {@link packChanges}; deflated if `isCompressed`. */
     readonly changes: Buffer;
     readonly revision: number;
@@ -84,7 +84,7 @@
     txn: { readonly succeeded: boolean; readonly revision: number; readonly current?: readonly StoredValue[]; };
     /** The encoded turn record; undefined does not mean that the turn does not exist. */
     loadTurn: Buffer | undefined;
-    followed: FollowedBatch;
+    followed: PackedChangeBatch;
     shareLoad: WorkerLoad;
     returnBudget: boolean;
     /** `elsewhere` if the peer does not reserve tokens for others; the sender then reserves them itself. */
--- a/packages/gateway/src/peers/peerServer.ts
+++ b/packages/gateway/src/peers/peerServer.ts
@@ -15,7 +15,7 @@
 const maxFrameBytes = 4 * 1024 * 1024;
 
 /** Handles a request. An error that it throws is sent as a failed response. */
-export type RequestHandler = (question: PeerRequest | JournalRequest, progress: Progress) => Promise<unknown>;
+export type RequestHandler = (request: PeerRequest | JournalRequest, progress: Progress) => Promise<unknown>;
 
 /** Accepts WebSocket connections from peers that have the shared key. */
 export class PeerServer {
--- a/packages/gateway/src/state/changeFeed.ts
+++ b/packages/gateway/src/state/changeFeed.ts
@@ -70,7 +70,7 @@
 
     private changesSince(after: number): StoreChange[] {
         if (this.isDisconnected) {
-            throw new ProblemError("not_durable", "notRun", "The store is away from this instance, too.");
+            throw new ProblemError("not_durable", "notRun", "The store is unavailable to this instance, too.");
         }
         if (after < this.compactedRevision) {
             throw new HistoryGoneError(after);
--- a/packages/gateway/src/state/groupWriter.ts
+++ b/packages/gateway/src/state/groupWriter.ts
@@ -239,6 +239,6 @@
 
 /** The error of a call that needs a durable record while the store is unavailable. */
 export const notDurableError = (): ProblemError =>
-    new ProblemError("not_durable", "notRun", "The store is away, and the call needs a durable record first.", {
+    new ProblemError("not_durable", "notRun", "The store is unavailable, and the call needs a durable record first.", {
         retryAfterSeconds: outageRetryAfterSeconds,
     });
--- a/packages/gateway/src/state/regionReads.ts
+++ b/packages/gateway/src/state/regionReads.ts
@@ -10,7 +10,7 @@
 
 import type { PeerClient } from "../peers/peerClient.js";
 import { packChanges, unpackChanges } from "../peers/peerMessages.js";
-import type { FollowedBatch, LocalInstance } from "../peers/peerMessages.js";
+import type { LocalInstance, PackedChangeBatch } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
 import type { ChangeFeed } from "./changeFeed.js";
 
@@ -29,19 +29,19 @@
 /** The fastest level suffices, since the text of a configuration is repetitive. */
 const compressionLevel = 1;
 
-type PackedChanges = Omit<FollowedBatch, "revision">;
+type PackedChanges = Omit<PackedChangeBatch, "revision">;
 
 /**
  * The store reads of a {@link PrefixWatcher} for one key prefix. Changes are read from the region's leaders, the
- * instances that read the store directly; from the store if this instance is a leader or no leader responds.
+ * instances that read the store directly; from the store if this instance is a leader or all leaders fail.
  */
 export class RegionalStoreReader implements Pick<VersionedStore, "range" | "changes"> {
-    private isLeader = true;
+    private isReadingDirectly = true;
     /** The last encoded batch, since all peers wait for the same one. */
     private lastPacked: { readonly key: string; readonly packed: PackedChanges; } | undefined;
 
     constructor(
-        private readonly localPeer: LocalInstance,
+        private readonly localInstance: LocalInstance,
         private readonly store: VersionedStore,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly feed: ChangeFeed,
@@ -50,7 +50,7 @@
 
     /** Whether this instance reads from the store directly. */
     get readsDirectly(): boolean {
-        return this.isLeader;
+        return this.isReadingDirectly;
     }
 
     range(prefix: string, progress: Progress, options?: RangeOptions): Promise<Snapshot> {
@@ -59,30 +59,39 @@
 
     async changes(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<ChangeBatch> {
         const leaders = waitMs > 0 ? this.findLeaders(prefix) : [];
-        this.isLeader = leaders.length === 0;
-        if (!this.isLeader) {
+        this.isReadingDirectly = leaders.length === 0;
+        if (!this.isReadingDirectly) {
             try {
                 return await this.readFromAnyPeer(leaders, prefix, revision, waitMs, progress);
             }
             catch (err) {
                 progress.throwIfAborted();
                 const reason = asError(err instanceof AggregateError ? err.errors[0] : err).message;
-                this.log.info("store followed directly, without peers", {
+                this.log.info("store followed directly, because the leading peers failed", {
                     prefix,
                     revision,
                     reason,
                 });
-                this.isLeader = true;
+                this.isReadingDirectly = true;
             }
         }
         const leftMs = Math.max(0, progress.leftMs - storeResponseMs);
         return await this.store.changes(prefix, revision, Math.min(waitMs, leftMs), progress);
     }
 
-    /** Answers a peer that reads changes through this instance. */
-    async answerPeer(prefix: string, revision: number, waitMs: number, progress: Progress): Promise<FollowedBatch> {
-        if (!this.isLeader) {
-            throw new ProblemError("not_durable", "notRun", "This instance does not follow the store itself.");
+    /** Reads changes for a peer that watches the prefix through this instance. */
+    async readForPeer(
+        prefix: string,
+        revision: number,
+        waitMs: number,
+        progress: Progress,
+    ): Promise<PackedChangeBatch> {
+        if (!this.isReadingDirectly) {
+            throw new ProblemError(
+                "not_durable",
+                "notRun",
+                "This instance does not read changes from the store itself.",
+            );
         }
         const { changes, revision: lastRevision } = await this.feed.next(revision, waitMs, progress);
         return { ...this.packCached(changes), revision: lastRevision };
@@ -117,10 +126,10 @@
 
     /** Returns the peers that read the store for the region; none if this instance is one of them. */
     private findLeaders(prefix: string): PeerClient[] {
-        const connected = this.peers.usableInRegion(this.localPeer.region).filter(({ isConnected }) => isConnected);
+        const connected = this.peers.usableInRegion(this.localInstance.region).filter(({ isConnected }) => isConnected);
         const byName = new Map(connected.map(peer => [peer.name, peer]));
-        const names = rendezvous(prefix, [this.localPeer.address(), ...byName.keys()]).slice(0, leaderCount);
-        return names.includes(this.localPeer.address()) ? [] : names.map(name => byName.get(name)!);
+        const names = rendezvous(prefix, [this.localInstance.address(), ...byName.keys()]).slice(0, leaderCount);
+        return names.includes(this.localInstance.address()) ? [] : names.map(name => byName.get(name)!);
     }
 }
 
@@ -131,7 +140,7 @@
         { changes: deflateRawSync(bytes, { level: compressionLevel }), isCompressed: true };
 };
 
-const unpack = ({ changes, revision, isCompressed }: FollowedBatch): ChangeBatch => ({
+const unpack = ({ changes, revision, isCompressed }: PackedChangeBatch): ChangeBatch => ({
     changes: unpackChanges(isCompressed ? inflateRawSync(changes) : changes),
     revision,
 });
--- a/packages/gateway/src/turns/storeArchive.ts
+++ b/packages/gateway/src/turns/storeArchive.ts
@@ -64,9 +64,12 @@
         progress.throwIfAborted();
         if (progress.leftMs < 2 * readTimeoutMs) {
             this.log.warn("failed to read turn", { turn: id, error: err.message, leftMs: Math.round(progress.leftMs) });
-            throw new ProblemError("not_durable", "notRun", "The store did not say whether the turn exists.", {
-                retryAfterSeconds,
-            });
+            throw new ProblemError(
+                "not_durable",
+                "notRun",
+                "The store did not respond, so it is unknown whether the turn exists.",
+                { retryAfterSeconds },
+            );
         }
         await progress.sleep(retryDelayMs);
     }
--- a/packages/gateway/src/turns/turnStore.ts
+++ b/packages/gateway/src/turns/turnStore.ts
@@ -61,14 +61,18 @@
         const startedAt = performance.now();
         const turn = await this.load({ id: last, program }, progress);
         if (turn === undefined) {
-            throw new ProblemError("unknown_turn", "notRun", "No turn with this id is kept.");
+            throw new ProblemError("unknown_turn", "notRun", "No turn with this id is stored.");
         }
         const tails = [turn.tail];
         for (let base = turn.base; base !== undefined;) {
             const earlier: TurnRecord | undefined = await this.load({ id: base, program }, progress);
             if (earlier === undefined) {
                 this.log.warn("an earlier turn of the conversation is missing", { turn: last, missing: base });
-                throw new ProblemError("unknown_turn", "notRun", "A turn of the conversation is no longer kept.");
+                throw new ProblemError(
+                    "unknown_turn",
+                    "notRun",
+                    "An earlier turn of the conversation is no longer stored.",
+                );
             }
             tails.unshift(earlier.tail);
             base = earlier.base;
--- a/packages/gateway/src/upstreams/sharedLoad.ts
+++ b/packages/gateway/src/upstreams/sharedLoad.ts
@@ -31,7 +31,7 @@
  * Best effort: the load of the others may be missing or out of date.
  */
 export class LoadExchange {
-    private readonly board = new LoadAggregator();
+    private readonly loadAggregator = new LoadAggregator();
     private peerLoads: WorkerLoad = {};
     private updatedAt = -Infinity;
     private lastBusyAt = -Infinity;
@@ -40,7 +40,7 @@
     private readonly timer: NodeJS.Timeout;
 
     constructor(
-        private readonly localPeer: LocalInstance,
+        private readonly localInstance: LocalInstance,
         private readonly peers: Pick<Peers, "usableInRegion">,
         private readonly localLoad: () => WorkerLoad,
         private readonly log: Logger,
@@ -56,8 +56,8 @@
     /** Records the report of an instance and returns the load of all others. */
     onReport(instance: string, load: WorkerLoad): WorkerLoad {
         const now = performance.now();
-        this.board.report(instance, load, now);
-        return this.board.loadOfOthers(instance, now);
+        this.loadAggregator.report(instance, load, now);
+        return this.loadAggregator.loadOfOthers(instance, now);
     }
 
     close(): void {
@@ -75,7 +75,7 @@
         }
         const aggregator = this.findAggregator();
         if (aggregator === undefined) {
-            this.setPeerLoads(this.onReport(this.localPeer.instance, load));
+            this.setPeerLoads(this.onReport(this.localInstance.instance, load));
             return;
         }
         await this.reportTo(aggregator, load);
@@ -86,7 +86,7 @@
         const progress = new Progress(reportTimeoutMs);
         try {
             this.setPeerLoads(
-                await aggregator.ask({ kind: "shareLoad", instance: this.localPeer.instance, load }, progress),
+                await aggregator.ask({ kind: "shareLoad", instance: this.localInstance.instance, load }, progress),
             );
         }
         catch (err) {
@@ -105,9 +105,9 @@
 
     /** Returns the peer that aggregates the region's load; undefined if this instance does. */
     private findAggregator(): PeerClient | undefined {
-        const connected = this.peers.usableInRegion(this.localPeer.region).filter(({ isConnected }) => isConnected);
+        const connected = this.peers.usableInRegion(this.localInstance.region).filter(({ isConnected }) => isConnected);
         const peers = new Map(connected.map(peer => [peer.name, peer]));
-        const [name] = rendezvous(aggregatorKey, [this.localPeer.address(), ...peers.keys()]);
+        const [name] = rendezvous(aggregatorKey, [this.localInstance.address(), ...peers.keys()]);
         if (name !== this.aggregatorName) {
             this.aggregatorName = name;
             this.log.info("load board", { at: name, peers: peers.size });
--- a/tests/gateway/budgets.test.ts
+++ b/tests/gateway/budgets.test.ts
@@ -63,7 +63,7 @@
             store.fault = "down";
             return returned;
         };
-        await expect(b.reserve("q", 200, 150, new Progress(5_000))).toBeRejectedWith("The store is away");
+        await expect(b.reserve("q", 200, 150, new Progress(5_000))).toBeRejectedWith("The store is unavailable");
         [a, b].forEach(budgets => budgets.close());
     });
 
@@ -100,7 +100,7 @@
         const store = new FakeStore();
         const budgets = createInstance("a", store, { instances: new Map() });
         store.fault = "loseReply";
-        await expect(budgets.reserve("p", 200, 100, new Progress(5_000))).toBeRejectedWith("The store is away");
+        await expect(budgets.reserve("p", 200, 100, new Progress(5_000))).toBeRejectedWith("The store is unavailable");
         store.fault = "none";
         await budgets.reserve("p", 200, 100, new Progress(5_000));
         await budgets.reserve("p", 200, 100, new Progress(5_000));
--- a/tests/gateway/decisions.test.ts
+++ b/tests/gateway/decisions.test.ts
@@ -91,7 +91,7 @@
     });
     const create = (): Upstreams => new Upstreams(() => {}, () => undefined, () => 2, silentLogger);
 
-    it("should leave out at once upstreams that drain or were removed", () => {
+    it("should leave out upstreams at once when they drain or were removed", () => {
         const upstreams = create();
         upstreams.onSnapshot([entry("a"), entry("b"), entry("c")], false);
         upstreams.onEntryPut(entry("a", { draining: true }));
--- a/tests/gateway/groupWriter.test.ts
+++ b/tests/gateway/groupWriter.test.ts
@@ -43,7 +43,7 @@
         expect(b).toHaveSubset({ kind: "written" });
     });
 
-    it("should take a write whose reply was lost as written, and apply it once", async () => {
+    it("should take a write whose reply was lost as written, and apply it only once", async () => {
         const store = new StrictStore();
         const writer = new BatchWriter(store, 2, silentLogger);
         store.fault = "loseReply";
@@ -68,10 +68,10 @@
         const writer = new BatchWriter(store, 2, silentLogger);
         store.fault = "down";
         const progress = new Progress(10_000);
-        await expect(writer.putFailFast(put("a"), progress)).toBeRejectedWith("The store is away");
+        await expect(writer.putFailFast(put("a"), progress)).toBeRejectedWith("The store is unavailable");
         const startedAt = performance.now();
         const probing = writer.putFailFast(put("b"), progress).catch(() => "away");
-        await expect(writer.putFailFast(put("c"), progress)).toBeRejectedWith("The store is away");
+        await expect(writer.putFailFast(put("c"), progress)).toBeRejectedWith("The store is unavailable");
         expect(performance.now() - startedAt < 100).toEqual(true);
         store.fault = "none";
         expect(await probing !== "away").toEqual(true);
--- a/tests/gateway/journal.test.ts
+++ b/tests/gateway/journal.test.ts
@@ -84,45 +84,45 @@
     }
 }
 
-const withJournalNode = (test: (machine: JournalNode, store: FakeStore, dir: string) => Promise<void>): Promise<void> =>
+const withJournalNode = (test: (node: JournalNode, store: FakeStore, dir: string) => Promise<void>): Promise<void> =>
     withDir(async dir => {
         const store = new FakeStore();
-        const machine = new JournalNode(dir, store);
-        await machine.journal.start(() => 0);
+        const node = new JournalNode(dir, store);
+        await node.journal.start(() => 0);
         try {
-            await test(machine, store, dir);
+            await test(node, store, dir);
         }
         finally {
-            await machine.close();
+            await node.close();
         }
     });
 
 describe("turn journal", () => {
     it("should flush a burst of turns with few store calls and notify the other holders", () =>
-        withJournalNode(async (machine, store) => {
-            await Promise.all(Array.from({ length: 100 }, (_, index) => machine.keep(`t${index}`, 0)));
+        withJournalNode(async (node, store) => {
+            await Promise.all(Array.from({ length: 100 }, (_, index) => node.keep(`t${index}`, 0)));
             expect(store.writes).toEqual(0);
-            await until(() => machine.journal.unflushedCount === 0);
+            await until(() => node.journal.unflushedCount === 0);
             expect(store.writes).toSatisfy(calls => calls <= 5);
-            expect(machine.notifiedIds.flat().length).toEqual(100);
+            expect(node.notifiedIds.flat().length).toEqual(100);
             expect(store.state.get("marigolddrift/turns/t99")?.value).toEqual(packTurn(turnOf("t99")));
         }));
 
     it("should flush a later copy only if it is not notified that the first copy was flushed", () =>
-        withJournalNode(async (machine, store) => {
-            await machine.keep("told", 1);
-            await machine.keep("untold", 1);
-            machine.journal.onPeerFlushed(["told"]);
-            await until(() => machine.journal.unflushedCount === 0);
-            expect([store.state.get("marigolddrift/turns/told"), store.writes]).toEqual([undefined, 1]);
-            expect(machine.journal.find("told").record).not.toEqual(undefined);
+        withJournalNode(async (node, store) => {
+            await node.keep("notified", 1);
+            await node.keep("unnotified", 1);
+            node.journal.onPeerFlushed(["notified"]);
+            await until(() => node.journal.unflushedCount === 0);
+            expect([store.state.get("marigolddrift/turns/notified"), store.writes]).toEqual([undefined, 1]);
+            expect(node.journal.find("notified").record).not.toEqual(undefined);
         }));
 
     it("should keep turns across a restart while the store is unavailable, and flush them when it recovers", () =>
-        withJournalNode(async (machine, store, dir) => {
+        withJournalNode(async (node, store, dir) => {
             store.fault = "down";
-            await machine.keep("t1", 0);
-            await machine.journal.close();
+            await node.keep("t1", 0);
+            await node.journal.close();
             const restarted = new JournalNode(dir, store);
             await restarted.journal.start(() => 0);
             expect(restarted.journal.find("t1").record).toEqual(packTurn(turnOf("t1")));
@@ -133,10 +133,10 @@
         }));
 
     it("should leave no fully flushed segments on the disk", () =>
-        withJournalNode(async (machine, store, dir) => {
-            await machine.keep("t1", 0);
-            await until(() => machine.journal.unflushedCount === 0);
-            await machine.journal.close();
+        withJournalNode(async (node, store, dir) => {
+            await node.keep("t1", 0);
+            await until(() => node.journal.unflushedCount === 0);
+            await node.journal.close();
             const countSegments = async () => (await readdir(dir)).filter(name => name.endsWith(".log")).length;
             for (let restart = 0; restart < 3; restart++) {
                 const restarted = new JournalNode(dir, store);
@@ -149,12 +149,12 @@
         }));
 
     it("should take no turns once draining has begun, and flush all turns to the store", () =>
-        withJournalNode(async (machine, store) => {
-            await machine.keep("t1", 1);
-            const draining = machine.journal.drain();
-            expect(await machine.keep("t2", 0)).toEqual(false);
+        withJournalNode(async (node, store) => {
+            await node.keep("t1", 1);
+            const draining = node.journal.drain();
+            expect(await node.keep("t2", 0)).toEqual(false);
             await draining;
-            expect([machine.journal.unflushedCount, store.state.get("marigolddrift/turns/t1") !== undefined]).toEqual([
+            expect([node.journal.unflushedCount, store.state.get("marigolddrift/turns/t1") !== undefined]).toEqual([
                 0,
                 true,
             ]);
@@ -162,10 +162,10 @@
 
     it("should report that it may lack turns after a start with a new disk", () =>
         withDir(async dir => {
-            const machine = new JournalNode(dir, new FakeStore());
-            await machine.journal.start(isNewDisk => isNewDisk ? 60_000 : 0);
-            expect(machine.journal.find("t1")).toEqual({ record: undefined, complete: false });
-            await machine.close();
+            const node = new JournalNode(dir, new FakeStore());
+            await node.journal.start(isNewDisk => isNewDisk ? 60_000 : 0);
+            expect(node.journal.find("t1")).toEqual({ record: undefined, complete: false });
+            await node.close();
         }));
 });
 
@@ -193,7 +193,7 @@
         load: async ({ id }) => {
             this.onStoreRead();
             if (this.isStoreDown) {
-                throw new ProblemError("not_durable", "notRun", "The store is away.");
+                throw new ProblemError("not_durable", "notRun", "The store is unavailable.");
             }
             return this.stored.get(id);
         },
@@ -241,7 +241,7 @@
 describe("journal archive", () => {
     const load = (fleet: FakeFleet, id: string) => fleet.archive().load({ id, program: "p" }, new Progress(2_000));
 
-    it("should end turns and continue them while the store is unavailable", async () => {
+    it("should save turns when they end, and load them, while the store is unavailable", async () => {
         const fleet = new FakeFleet();
         fleet.isStoreDown = true;
         await fleet.archive().save(toSave("t1"), new Progress(300));
@@ -300,7 +300,7 @@
         const reachingArchive = fleet.archive();
         const found = await reachingArchive.loadForPeer({ id: "t1", program: "p" }, new Progress(300));
         fleet.front = { name: "front:1", ask: async () => packTurn(found!) };
-        fleet.journals.forEach(machine => Object.assign(machine, { isConnected: false, isUsable: false }));
+        fleet.journals.forEach(server => Object.assign(server, { isConnected: false, isUsable: false }));
         const startedAt = performance.now();
         expect((await load(fleet, "t1"))?.id).toEqual("t1");
         await fleet.archive().save(toSave("t2"), new Progress(300));
@@ -320,6 +320,6 @@
     it("should not rule a turn out while the store is unavailable", async () => {
         const fleet = new FakeFleet();
         fleet.isStoreDown = true;
-        await expect(load(fleet, "t9")).toBeRejectedWith("The store is away");
+        await expect(load(fleet, "t9")).toBeRejectedWith("The store is unavailable");
     });
 });
--- a/tests/gateway/regionBudgets.test.ts
+++ b/tests/gateway/regionBudgets.test.ts
@@ -47,10 +47,10 @@
             usableInRegion: () => names.filter(other => other !== name).map(peer),
         } as never;
         const budgets = new Budgets(name, new BatchWriter(store, 0, silentLogger), store, peers, silentLogger);
-        const self = { instance: name, region: "r", address: () => name };
+        const localInstance = { instance: name, region: "r", address: () => name };
         members.set(name, {
             budgets,
-            region: new RegionBudgets(self, budgets, peers, silentLogger),
+            region: new RegionBudgets(localInstance, budgets, peers, silentLogger),
             isReachable: true,
         });
     }
@@ -90,7 +90,7 @@
         close(region);
     });
 
-    it("should fall back on its own allocation when the coordinator does not respond", async () => {
+    it("should fall back on the instance's own allocation when the coordinator does not respond", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
         const coordinator = rendezvous("p", names)[0]!;
@@ -101,7 +101,7 @@
         close(region);
     });
 
-    it("should let others keep their own tokens once it has stopped, and return the tokens that it holds", async () => {
+    it("should let other instances keep their own tokens once it has stopped, and return the tokens it holds", async () => {
         const store = new FakeStore();
         const region = createRegion(store, names);
         const coordinator = rendezvous("p", names)[0]!;
--- a/tests/gateway/regionReads.test.ts
+++ b/tests/gateway/regionReads.test.ts
@@ -37,20 +37,20 @@
 const createRegion = (store: FakeStore, size: number): Map<string, RegionMember> => {
     const members = new Map<string, RegionMember>();
     const names = Array.from({ length: size }, (_, index) => `front-${index}`);
-    const ask = async (name: string, question: PeerRequest, progress: Progress): Promise<unknown> => {
+    const ask = async (name: string, request: PeerRequest, progress: Progress): Promise<unknown> => {
         const member = members.get(name)!;
-        if (question.kind !== "followed" || member.mode === "down") {
+        if (request.kind !== "followed" || member.mode === "down") {
             throw new Error("the peer is down");
         }
         if (member.mode === "silent") {
             await progress.sleep(60_000);
         }
-        return await progress.race(member.reader.answerPeer(prefix, question.revision, question.waitMs, progress));
+        return await progress.race(member.reader.readForPeer(prefix, request.revision, request.waitMs, progress));
     };
     const peer = (name: string) => ({
         name,
         isConnected: true,
-        ask: (question: PeerRequest, progress: Progress) => ask(name, question, progress),
+        ask: (request: PeerRequest, progress: Progress) => ask(name, request, progress),
     });
     for (const name of names) {
         const peers = { usableInRegion: () => names.filter(other => other !== name).map(peer) } as never;
@@ -151,7 +151,7 @@
         await expect(feed.next(12, 10, progress)).toBeRejectedWith(HistoryGoneError);
         const waiting = feed.next(14, 5_000, progress);
         feed.onDisconnected();
-        await expect(waiting).toBeRejectedWith("away");
+        await expect(waiting).toBeRejectedWith("The store is unavailable");
         feed.onChanges([], 15);
         expect((await feed.next(14, 10, progress)).revision).toEqual(15);
     });
--- a/tests/gateway/state.test.ts
+++ b/tests/gateway/state.test.ts
@@ -44,7 +44,7 @@
         const link = { freeAt: 0, fetched: 0 };
         const store = new NarrowStore(link);
         const peers = Array.from({ length: 10 }, () => ({ onRelayFailed: () => {}, ask: () => store.range("x/") }));
-        const pick = (asked: ReadonlySet<unknown>) => peers.find(peer => !asked.has(peer)) as never;
+        const pick = (excluded: ReadonlySet<unknown>) => peers.find(peer => !excluded.has(peer)) as never;
         const watchers = Array.from({ length: 10 }, () => {
             const seen: string[] = [];
             return { seen, watcher: createWatcher(new RelayStore(store, pick, silentLogger), seen) };
@@ -96,7 +96,7 @@
         watcher.stop();
     });
 
-    it("should report the loss of the store once, and soon detect its recovery", async () => {
+    it("should report a store outage once, and soon detect the recovery", async () => {
         const store = new FakeStore();
         const seen: string[] = [];
         const watcher = createWatcher(store, seen);
@@ -219,7 +219,7 @@
                 throw new StoreError("no", "connection refused");
             },
         } as never;
-        const pick = (except: ReadonlySet<unknown>) => peers.find(peer => !except.has(peer));
+        const pick = (excluded: ReadonlySet<unknown>) => peers.find(peer => !excluded.has(peer));
         const relay = new RelayStore(direct, pick, silentLogger);
         const read = async () => (await relay.get("k", new Progress(500)))?.value.toString();
         expect([await read(), refused, directCalls]).toEqual(["via peer", 2, 1]);
@@ -231,7 +231,7 @@
         expect(await get({ get: () => new Promise(() => {}) })).toEqual("via peer");
     });
 
-    it("should end the direct call once a peer has answered, to release an unresponsive connection", async () => {
+    it("should end the direct call once a peer has responded, to release an unresponsive connection", async () => {
         let ended = false;
         const unresponsive = (_: string, progress: Progress): Promise<undefined> => {
             progress.signal.addEventListener("abort", () => ended = true);
@@ -248,7 +248,7 @@
 describe("turns", () => {
     const turn = (id: string, previous?: TurnRecord, bytes = 0): TurnRecord =>
         createTurn(id, previous, Buffer.from(`${id} in ${"x".repeat(bytes)}`), Buffer.from(`${id} out\n`));
-    const toSaveRequest = (record: TurnRecord) => ({ turn: record, program: "p", keepMs: 60_000 });
+    const toSave = (record: TurnRecord) => ({ turn: record, program: "p", keepMs: 60_000 });
     const createTurns = (store: FakeStore): TurnStore =>
         new TurnStore(new StoreArchive(store, new BatchWriter(store, 0, silentLogger), silentLogger), silentLogger);
 
@@ -257,8 +257,8 @@
         const progress = new Progress(3_000);
         const turns = createTurns(store);
         const first = turn("t1");
-        await turns.save(toSaveRequest(first), progress);
-        await turns.save(toSaveRequest(turn("t2", first)), progress);
+        await turns.save(toSave(first), progress);
+        await turns.save(toSave(turn("t2", first)), progress);
         const { history } = await createTurns(store).loadConversation({ id: "t2", program: "p" }, progress);
         expect(history.toString()).toEqual("t1 in t1 out\nt2 in t2 out\n");
         expect(store.reads).toEqual(1);
@@ -271,7 +271,7 @@
         let last: TurnRecord | undefined;
         for (const id of ["t1", "t2", "t3", "t4"]) {
             last = turn(id, last, 20_000);
-            await turns.save(toSaveRequest(last), progress);
+            await turns.save(toSave(last), progress);
         }
         expect([last!.base, last!.tail.length < 45_000]).toEqual(["t2", true]);
         const { history } = await createTurns(store).loadConversation({ id: "t4", program: "p" }, progress);
@@ -280,7 +280,7 @@
 
     it("should retry while the store is unavailable, and report an unknown result when time runs out", async () => {
         const store = new FakeStore();
-        await createTurns(store).save(toSaveRequest(turn("t1")), new Progress(1_000));
+        await createTurns(store).save(toSave(turn("t1")), new Progress(1_000));
         store.fault = "down";
         store.faultsLeft = 3;
         expect((await createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(3_000))).last.id)
@@ -288,7 +288,7 @@
         store.faultsLeft = Infinity;
         await expect(createTurns(store).loadConversation({ id: "t1", program: "p" }, new Progress(1_500)))
             .toBeRejectedWith(
-                "did not say",
+                "it is unknown whether the turn exists",
             );
     });
 
