--- a/packages/gateway/src/turns/turnStore.ts
+++ b/packages/gateway/src/turns/turnStore.ts
@@ -68,7 +68,11 @@
             const earlier: TurnRecord | undefined = await this.load({ id: base, program }, progress);
             if (earlier === undefined) {
                 this.log.warn("an earlier turn of the conversation is missing", { turn: last, missing: base });
-                throw new ProblemError("unknown_turn", "notRun", "A turn of the conversation is no longer kept.");
+                throw new ProblemError(
+                    "unknown_turn",
+                    "notRun",
+                    "A turn of the conversation is no longer kept.",
+                );
             }
             tails.unshift(earlier.tail);
             base = earlier.base;
--- a/packages/ledger/src/recordCodec.ts
+++ b/packages/ledger/src/recordCodec.ts
@@ -21,7 +21,7 @@
     const bytes = pack(record);
     if (bytes.length > maxRecordBytes) {
         throw new RecordError(
-            `record of slot ${record.slot} has ${bytes.length} bytes; at most ${maxRecordBytes} can be stored`,
+            `slot ${record.slot} needs ${bytes.length} bytes; at most ${maxRecordBytes} are stored`,
         );
     }
     return bytes;
--- a/tests/gateway/groupWriter.test.ts
+++ b/tests/gateway/groupWriter.test.ts
@@ -43,7 +43,7 @@
         expect(b).toHaveSubset({ kind: "written" });
     });
 
-    it("should take a write whose reply was lost as written, and apply it once", async () => {
+    it("should take a write whose reply was lost as written, and apply it only once", async () => {
         const store = new StrictStore();
         const writer = new BatchWriter(store, 2, silentLogger);
         store.fault = "loseReply";
