--- a/packages/daemon/src/controllers/programs.ts
+++ b/packages/daemon/src/controllers/programs.ts
@@ -103,7 +103,7 @@
             throw new ProblemError(
                 "not_durable",
                 "notRun",
-                "The program's ledger cannot be read while the store is unavailable.",
+                "The program's ledger cannot be read while the store is away.",
                 {
                     retryAfterSeconds: 5,
                 },
--- a/packages/daemon/src/filters/admissionFilter.ts
+++ b/packages/daemon/src/filters/admissionFilter.ts
@@ -12,7 +12,7 @@
     async handle(ctx: ChatContext, next: () => Promise<void>): Promise<void> {
         const { program, progress, req } = ctx;
         if (this.dispatcher.runningInWorkspace(req.workspace) >= this.maxInFlight(req.workspace)) {
-            throw overloaded("the workspace has reached its limit of calls in flight", 1_000);
+            throw overloaded("the workspace has as many calls in flight as it may have", 1_000);
         }
         const decision = this.dispatcher.checkAdmission(program.agent.model, program.turns === 0, progress.leftMs, 0);
         if (decision.kind === "refuse") {
--- a/packages/daemon/src/filters/authenticateFilter.ts
+++ b/packages/daemon/src/filters/authenticateFilter.ts
@@ -18,7 +18,7 @@
             throw new ProblemError(
                 "unauthorized",
                 "notRun",
-                "The Authorization header does not contain the key of a workspace.",
+                "The Authorization header holds no key of a workspace.",
             );
         }
         ctx.workspace = workspace;
--- a/packages/daemon/src/filters/budgetHold.ts
+++ b/packages/daemon/src/filters/budgetHold.ts
@@ -31,7 +31,7 @@
     while (decision.kind === "reserveFirst") {
         if (!slotHold.durable) {
             throw Slots.notDurableError(
-                "The next part of the budget cannot be reserved while the store is unavailable.",
+                "The next part of the budget cannot be reserved while the store is away.",
             );
         }
         const { reserved } = decision;
--- a/packages/daemon/src/filters/intentFilter.ts
+++ b/packages/daemon/src/filters/intentFilter.ts
@@ -44,7 +44,7 @@
             return;
         }
         if (!ctx.hold.durable) {
-            throw Slots.notDurableError("A non-idempotent call cannot be recorded while the store is unavailable.");
+            throw Slots.notDurableError("A call that must not be repeated cannot be recorded while the store is away.");
         }
         await this.storeIntent(ctx, key, request);
         try {
@@ -80,7 +80,7 @@
             throw new ProblemError(
                 "outcome_unknown",
                 "mayHaveRun",
-                "The call was already sent, and its outcome is unknown.",
+                "The call was sent before, and its outcome is not known.",
             );
         }
         if (found.kind === "new") {
--- a/packages/daemon/src/filters/loopFilter.ts
+++ b/packages/daemon/src/filters/loopFilter.ts
@@ -17,7 +17,7 @@
             throw new ProblemError(
                 "turn_limit",
                 "notRun",
-                `The program has made ${program.turns} calls, the maximum that its agent allows.`,
+                `The program made ${program.turns} calls, as many as are allowed.`,
             );
         }
         if (isLooping(program.loop, program.agent.loopLimit)) {
--- a/packages/daemon/src/filters/parseFilter.ts
+++ b/packages/daemon/src/filters/parseFilter.ts
@@ -41,7 +41,7 @@
     private parseOpen(ctx: EdgeContext): OpenRequest {
         const body = parseJson(openBodySchema, ctx.body);
         if (body.workspace !== undefined && body.workspace !== ctx.workspace) {
-            throw new ProblemError("forbidden", "notRun", `The key does not belong to workspace "${body.workspace}".`);
+            throw new ProblemError("forbidden", "notRun", `The key is not that of workspace "${body.workspace}".`);
         }
         const agent = ctx.bundle.agent[body.agent];
         if (agent === undefined) {
@@ -145,7 +145,7 @@
         };
         const key = callerKey ?? defaultIdempotencyKey(request);
         if (key === undefined && !service.idempotent) {
-            const detail = `Calls of service "${route.service}" are not idempotent, so they need an Idempotency-Key.`;
+            const detail = `Calls of service "${route.service}" must not be repeated, so they need a key.`;
             throw new ProblemError("idempotency_key_required", "notRun", detail);
         }
         ctx.slot = this.serviceSlot(ctx, route.service, program, key);
@@ -182,7 +182,7 @@
         throw new ProblemError(
             "invalid_request",
             "notRun",
-            `The header Program-Call must be a positive integer, not "${text}".`,
+            `The header Program-Call must be a whole number from 1, not "${text}".`,
         );
     }
     return call;
--- a/packages/daemon/src/filters/serviceDispatchFilter.ts
+++ b/packages/daemon/src/filters/serviceDispatchFilter.ts
@@ -59,7 +59,7 @@
         );
         const [best] = usable.sort((a, b) => distance(a) - distance(b) || a.inFlight - b.inFlight);
         if (best === undefined) {
-            const detail = `No upstream of service "${ctx.req.service}" is available.`;
+            const detail = `No upstream of service "${ctx.req.service}" can be used now.`;
             throw new ProblemError("no_upstream", "notRun", detail, { retryAfterSeconds: 2 });
         }
         const scores = usable.map(upstream => [upstream.address, distance(upstream), upstream.inFlight]);
--- a/packages/daemon/src/http/adminServer.ts
+++ b/packages/daemon/src/http/adminServer.ts
@@ -59,7 +59,7 @@
     private async handle(req: IncomingMessage, res: ServerResponse, action: () => unknown): Promise<void> {
         if (!this.isAuthorized(req)) {
             sendJson(res, 401, {
-                error: "The Authorization header does not contain the admin key of this instance's settings.",
+                error: "The Authorization header does not hold the admin key of this instance's settings.",
             });
             return;
         }
--- a/packages/daemon/src/http/callerServer.ts
+++ b/packages/daemon/src/http/callerServer.ts
@@ -171,7 +171,7 @@
 }
 
 const notFound = (method: string, path: string): ProblemError =>
-    new ProblemError("not_found", "notRun", `No route matches ${method} ${path}.`);
+    new ProblemError("not_found", "notRun", `There is no ${method} ${path}.`);
 
 /** Timeout of a call, from the Request-Timeout header in seconds. */
 const callTimeoutOf = (req: IncomingMessage): number => {
@@ -191,7 +191,7 @@
         "notRun",
         tooLarge ?
             `The headers exceed ${maxHeaderBytes} bytes.` :
-            `The request is not valid HTTP or arrived too slowly: ${err.message}.`,
+            `The request is no valid HTTP, or came too slowly: ${err.message}.`,
     );
     const body = JSON.stringify(problem.toProblem());
     const head = [
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -205,7 +205,7 @@
             throw new ProblemError(
                 "idempotency_conflict",
                 "notRun",
-                `Call ${entry.call} was already sent with different content.`,
+                `Call ${entry.call} was sent before with another content.`,
             );
         }
         return entry?.log;
@@ -270,7 +270,7 @@
                         new ProblemError(
                             "caller_gone",
                             verdictOf(ctx.lifecycle),
-                            "All readers of the answer have disconnected.",
+                            "Nobody waits for the answer.",
                         ),
                     );
                 }
@@ -286,7 +286,7 @@
             const problem = new ProblemError(
                 "owner_unreachable",
                 verdict,
-                "The slot moved to another instance during the call.",
+                "The slot moved to another instance meanwhile.",
             );
             ctx.log.fail(problem, verdict);
             return;
--- a/packages/daemon/src/programs/callSequencer.ts
+++ b/packages/daemon/src/programs/callSequencer.ts
@@ -42,7 +42,7 @@
                     throw new ProblemError(
                         "call_superseded",
                         "notRun",
-                        `Call ${call} arrived after call ${this.expectedCall - 1} had run.`,
+                        `Call ${call} comes after call ${this.expectedCall - 1} ran.`,
                     );
                 }
                 await progress.race(new Promise<void>(resolve => this.waiting.set(call, resolve)));
--- a/packages/daemon/src/programs/programHistory.ts
+++ b/packages/daemon/src/programs/programHistory.ts
@@ -97,7 +97,7 @@
             throw new ProblemError(
                 "history_mismatch",
                 "notRun",
-                `The history has ${this.length} messages; the request must contain all of them and add new ones.`,
+                `The history has ${this.length} messages; add to them.`,
             );
         }
         const digest = historyDigests(this.programId, messages.slice(0, this.length)).at(-1);
--- a/packages/daemon/src/router.ts
+++ b/packages/daemon/src/router.ts
@@ -88,7 +88,7 @@
             throw new ProblemError(
                 "owner_unreachable",
                 "mayHaveRun",
-                "The connection to the owner was lost after the answer had started.",
+                "The owner was lost in the middle of the answer.",
             );
         }
         return undefined;
@@ -104,7 +104,7 @@
                 throw new ProblemError(
                     "owner_unreachable",
                     verdict,
-                    "No instance that owns the slot could be reached before the deadline.",
+                    "No instance that owns the slot could be reached in time.",
                 );
             }
             throw err;
--- a/packages/gateway/src/journal/journalArchive.ts
+++ b/packages/gateway/src/journal/journalArchive.ts
@@ -324,6 +324,6 @@
     new ProblemError(
         "not_durable",
         "notRun",
-        "Too few machines responded to determine whether the turn exists.",
+        "Too few machines said whether the turn exists.",
         { retryAfterSeconds },
     );
--- a/tests/order/callSequencer.test.ts
+++ b/tests/order/callSequencer.test.ts
@@ -62,7 +62,7 @@
         const sequencer = new CallSequencer(5);
         await expect(sequencer.enter(4, progress)).toBeRejectedWith(
             ProblemError,
-            "Call 4 arrived after call 4 had run.",
+            "Call 4 comes after call 4 ran.",
         );
         progress.dispose();
     });
