--- a/bench/policy/benchScheduler.ts
+++ b/bench/policy/benchScheduler.ts
@@ -107,7 +107,7 @@
         return this.place.regions[zone] ?? "";
     }
 
-    batchOf(): number {
+    maxInFlightPerWorker(): number {
         return Math.max(...[...this.engines.values()].map(engine => engine.profile.maxBatch));
     }
 
--- a/packages/daemon/src/answerLog.ts
+++ b/packages/daemon/src/answerLog.ts
@@ -27,8 +27,8 @@
 
     /** The problem that ended the answer, if any. */
     get problem(): ProblemError | undefined {
-        const last = this.events.find(event => event.kind === "problem");
-        return last === undefined ? undefined : ProblemError.fromProblem(last.problem);
+        const problemEvent = this.events.find(event => event.kind === "problem");
+        return problemEvent === undefined ? undefined : ProblemError.fromProblem(problemEvent.problem);
     }
 
     append(event: AnswerEvent): void {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Marks the answer as complete. */
+    /** Ends the answer; later events are ignored. */
     close(): void {
         this.append({ kind: "end" });
         this.closed = true;
--- a/packages/daemon/src/controllers/bundles.ts
+++ b/packages/daemon/src/controllers/bundles.ts
@@ -33,7 +33,7 @@
 
 /** Applies newer, correctly signed bundle versions. */
 export class BundleManager {
-    private carried: BundleRelease | undefined;
+    private releaseInForce: BundleRelease | undefined;
     private bundle: Bundle | undefined;
     private readonly chain: BundleChain;
     private readonly stopping = new AbortController();
@@ -50,16 +50,16 @@
 
     /** Version in force; 0 if there is none yet. */
     get version(): number {
-        return this.carried?.document.version ?? 0;
+        return this.releaseInForce?.document.version ?? 0;
     }
 
     get current(): Bundle | undefined {
         return this.bundle;
     }
 
-    /** The bundle in force with its rollout, as sent to peers that request it. */
-    get carriedBundle(): BundleRelease | undefined {
-        return this.carried;
+    /** The bundle in force as a signed document with its rollout; peers that request the bundle receive it. */
+    get currentRelease(): BundleRelease | undefined {
+        return this.releaseInForce;
     }
 
     async start(): Promise<void> {
@@ -81,9 +81,9 @@
         this.fetching.add(peer.address);
         const progress = new Progress(readTimeoutMs);
         try {
-            const carried = bundleReleaseSchema.safeParse(await peer.link.ask({ kind: "bundle" }, progress));
-            if (carried.success) {
-                this.apply(carried.data, `peer ${peer.address}`);
+            const release = bundleReleaseSchema.safeParse(await peer.link.ask({ kind: "bundle" }, progress));
+            if (release.success) {
+                this.apply(release.data, `peer ${peer.address}`);
             }
         }
         catch (err) {
@@ -96,22 +96,26 @@
     }
 
     /** Puts a version in force if it is newer and correctly signed; returns whether it did. */
-    apply(carried: BundleRelease, source: string, keys = this.trustedKeys()): boolean {
-        const { document } = carried;
-        const decision = evaluateBundle(this.version, carried, this.options.region, keys);
+    apply(release: BundleRelease, source: string, keys = this.trustedKeys()): boolean {
+        const { document } = release;
+        const decision = evaluateBundle(this.version, release, this.options.region, keys);
         if (decision.kind === "keep") {
-            this.log.debug("bundle not taken", { version: document.version, source, reason: decision.reason });
+            this.log.debug("bundle not taken", {
+                version: document.version,
+                source,
+                reason: decision.reason,
+            });
             return false;
         }
         const bundle = this.parse(document, source);
         if (bundle === undefined) {
             return false;
         }
-        this.carried = carried;
+        this.releaseInForce = release;
         this.bundle = bundle;
         this.log.info("bundle in force", { version: document.version, source });
         this.options.onChange(bundle);
-        this.saveToDisk(carried);
+        this.saveToDisk(release);
         return true;
     }
 
@@ -206,21 +210,21 @@
             return;
         }
         try {
-            const carried = bundleReleaseSchema.parse(JSON.parse(readFileSync(this.file, "utf8")));
-            this.apply(carried, "data folder");
+            const release = bundleReleaseSchema.parse(JSON.parse(readFileSync(this.file, "utf8")));
+            this.apply(release, "data folder");
         }
         catch (err) {
             this.log.debug("no valid bundle in the data folder", { error: asError(err).message });
         }
     }
 
-    private saveToDisk(carried: BundleRelease): void {
+    private saveToDisk(release: BundleRelease): void {
         if (this.file === undefined) {
             return;
         }
         try {
             mkdirSync(this.options.dataFolder!, { recursive: true });
-            writeFileSync(`${this.file}.new`, JSON.stringify(carried));
+            writeFileSync(`${this.file}.new`, JSON.stringify(release));
             renameSync(`${this.file}.new`, this.file);
         }
         catch (err) {
--- a/packages/daemon/src/controllers/drain.ts
+++ b/packages/daemon/src/controllers/drain.ts
@@ -11,7 +11,7 @@
 
 /** Wait before the handover, so that load balancers and peers learn that the instance is leaving. */
 const leaveNoticeMs = 500;
-const maxConcurrentHandOvers = 16;
+const maxConcurrentHandovers = 16;
 
 /** Dependencies of {@link Drain}. */
 export interface DrainDependencies {
@@ -74,6 +74,6 @@
                 await this.deps.slots.handOver(slot, progress);
             }
         };
-        await Promise.all(Array.from({ length: maxConcurrentHandOvers }, worker));
+        await Promise.all(Array.from({ length: maxConcurrentHandovers }, worker));
     }
 }
--- a/packages/daemon/src/controllers/groupCommit.ts
+++ b/packages/daemon/src/controllers/groupCommit.ts
@@ -1,4 +1,4 @@
-/** Group commit of slot mutations, so that the write rate depends on the number of instances and not of calls. */
+/** Group commit of slot mutations, so that the write rate depends on the number of instances, not of calls. */
 import { asError, ProblemError, Progress } from "@marigolddrift/common";
 import type { Logger, Metrics } from "@marigolddrift/common";
 import {
--- a/packages/daemon/src/controllers/linkBudget.ts
+++ b/packages/daemon/src/controllers/linkBudget.ts
@@ -1,4 +1,4 @@
-/** Rate limit for the bytes that this instance sends over the link between the regions. */
+/** Rate limit for the bytes that this instance sends to workers of other regions. */
 
 const burstSeconds = 4;
 
--- a/packages/daemon/src/controllers/membership.ts
+++ b/packages/daemon/src/controllers/membership.ts
@@ -206,7 +206,7 @@
             onDown: refused => this.onLinkDown(address, refused),
         }, this.log);
         const lifecycle = this.createLifecycle(address);
-        const lastHeartbeat = Date.now();
+        const lastSeenAt = Date.now();
         const periodMs = this.options.heartbeatMs * crossRegionPeriodFactor;
         const peer: Peer = {
             address,
@@ -215,7 +215,7 @@
             instance: undefined,
             zone,
             region,
-            lastSeenAt: lastHeartbeat,
+            lastSeenAt,
             periodMs,
             bundle: 0,
         };
--- a/packages/daemon/src/controllers/programs.ts
+++ b/packages/daemon/src/controllers/programs.ts
@@ -162,7 +162,7 @@
             if (program.claims.slot === record.slot) {
                 const { account, claims } = program;
                 const reserved = account.spent + account.held;
-                const handedOver = program.handOver(record.epoch);
+                const handedOver = program.createHandoverState(record.epoch);
                 const entry = { reserved, deadline: claims.deadline, ended: program.isEnded };
                 programs[ledgerName(claims)] = handedOver === undefined ? entry : { ...entry, handedOver };
             }
--- a/packages/daemon/src/controllers/slotAcquirer.ts
+++ b/packages/daemon/src/controllers/slotAcquirer.ts
@@ -5,7 +5,7 @@
 import type { Membership, Peer } from "./membership.js";
 import type { SlotClaims } from "./slotClaims.js";
 import type { SlotDirectory } from "./slotDirectory.js";
-import { handOverGraceMs } from "./slotHandOvers.js";
+import { handoverGraceMs } from "./slotHandOvers.js";
 
 const maxConcurrentClaims = 8;
 const replyTimeoutMs = 2_000;
@@ -42,17 +42,17 @@
             // The record may name a live instance that does not know it owns the slot, for example after a lost reply.
             const recordedOwner = await this.claims.claim(slot);
             const recordedPeer = recordedOwner === undefined ? undefined : this.membership.connectedPeer(recordedOwner);
-            return recordedPeer === undefined ? undefined : this.requestHandOver(slot, recordedPeer);
+            return recordedPeer === undefined ? undefined : this.requestHandover(slot, recordedPeer);
         }
         if ((this.requestedAt.get(slot) ?? 0) + requestIntervalMs <= Date.now()) {
             this.requestedAt.set(slot, Date.now());
-            await this.requestHandOver(slot, peer);
+            await this.requestHandover(slot, peer);
         }
     }
 
     /** Requests a handover from the slot's owner, and claims the slot once the owner has released it. */
-    private async requestHandOver(slot: number, peer: Peer): Promise<void> {
-        const progress = new Progress(replyTimeoutMs + handOverGraceMs);
+    private async requestHandover(slot: number, peer: Peer): Promise<void> {
+        const progress = new Progress(replyTimeoutMs + handoverGraceMs);
         try {
             if (await peer.link.ask({ kind: "handOver", slot }, progress) === true) {
                 await this.claims.claim(slot);
--- a/packages/daemon/src/controllers/slotClaims.ts
+++ b/packages/daemon/src/controllers/slotClaims.ts
@@ -63,9 +63,9 @@
         const progress = new Progress(claimTimeoutMs);
         try {
             const stored = await this.deps.groupCommit.read(slot, progress);
-            const formerOwner = stored?.record.owner ?? "";
-            if (formerOwner !== "" && formerOwner !== this.deps.instance && this.deps.isAlive(formerOwner)) {
-                return formerOwner;
+            const previousOwner = stored?.record.owner ?? "";
+            if (previousOwner !== "" && previousOwner !== this.deps.instance && this.deps.isAlive(previousOwner)) {
+                return previousOwner;
             }
             const writer = await this.writeClaim(slot, stored, progress);
             if (writer.kind === "idle") {
@@ -84,11 +84,11 @@
 
     private async writeClaim(slot: number, stored: StoredRecord | undefined, progress: Progress): Promise<WriterState> {
         const { instance } = this.deps;
-        const formerOwner = stored?.record.owner ?? "";
-        const isTakeover = formerOwner !== "" && formerOwner !== instance;
+        const previousOwner = stored?.record.owner ?? "";
+        const isTakeover = previousOwner !== "" && previousOwner !== instance;
         const base = stored ?? { record: claimSlot(undefined, slot, ""), revision: 0 };
         const next = claimSlot(stored?.record, slot, instance);
-        const fence: Compare[] = isTakeover ? [{ key: instanceKey(formerOwner), revision: 0 }] : [];
+        const fence: Compare[] = isTakeover ? [{ key: instanceKey(previousOwner), revision: 0 }] : [];
         let writer = beginWrite(openWriter(base), next, createNonce());
         while (writer.kind === "writing") {
             writer = await this.attemptWrite(slot, writer, fence, progress);
@@ -102,7 +102,7 @@
         fence: readonly Compare[],
         progress: Progress,
     ): Promise<WriterState> {
-        const { groupCommit: groupCommit, store } = this.deps;
+        const { groupCommit, store } = this.deps;
         const compares = [{ key: slotKey(slot), revision: writer.stored.revision }, ...fence];
         try {
             const result = await store.txn(
--- a/packages/daemon/src/controllers/slotHandOvers.ts
+++ b/packages/daemon/src/controllers/slotHandOvers.ts
@@ -7,11 +7,11 @@
 import type { Mutation, OwnedSlot } from "./ownedSlot.js";
 
 /** Time for which a slot still accepts new calls while its handover waits for the active calls to end. */
-export const handOverGraceMs = 3_000;
+export const handoverGraceMs = 3_000;
 const pollMs = 50;
 
 /** Closes slots and releases them in the store, so that the next owner need not wait for the lease to lapse. */
-export class SlotHandOvers {
+export class SlotHandovers {
     /**
      * @param mutate Applies a mutation to a slot's record durably.
      * @param finalizeRecord Adds the state that only the owner holds to the record.
@@ -43,7 +43,7 @@
     }
 
     private async waitUntilIdle(slot: OwnedSlot, progress: Progress): Promise<boolean> {
-        const closeAt = Date.now() + handOverGraceMs;
+        const closeAt = Date.now() + handoverGraceMs;
         try {
             while (slot.active > 0) {
                 slot.closing ||= Date.now() > closeAt;
--- a/packages/daemon/src/controllers/slots.ts
+++ b/packages/daemon/src/controllers/slots.ts
@@ -16,7 +16,7 @@
 import { SlotAcquirer } from "./slotAcquirer.js";
 import { SlotClaims } from "./slotClaims.js";
 import { SlotDirectory } from "./slotDirectory.js";
-import { SlotHandOvers } from "./slotHandOvers.js";
+import { SlotHandovers } from "./slotHandOvers.js";
 
 const tickMs = 500;
 
@@ -33,7 +33,7 @@
     /** Called when this instance no longer owns a slot. */
     onReleased(slot: number): void;
     /** Adds the state that only the owner holds in memory to the record, before a handover. */
-    beforeHandOver(record: SlotRecord): SlotRecord;
+    beforeHandover(record: SlotRecord): SlotRecord;
 }
 
 /** Permission to work on a slot; the holder must call `leave` when it is done. */
@@ -57,7 +57,7 @@
     private timer: NodeJS.Timeout | undefined;
     private announceTimer: NodeJS.Timeout | undefined;
     private readonly preferredOwners: PreferredOwners;
-    private readonly handOvers: SlotHandOvers;
+    private readonly handovers: SlotHandovers;
 
     constructor(
         private readonly identity: Identity,
@@ -79,7 +79,7 @@
         );
         this.preferredOwners = new PreferredOwners(membership, () => options.slotCount(), () => options.zones());
         const mutate = (owned: OwnedSlot, mutation: Mutation): Promise<void> => this.mutate(owned, mutation);
-        this.handOvers = new SlotHandOvers(mutate, record => options.beforeHandOver(record), log);
+        this.handovers = new SlotHandovers(mutate, record => options.beforeHandover(record), log);
         this.claims = new SlotClaims({
             instance: identity.instance,
             store,
@@ -221,7 +221,7 @@
         if (owned === undefined || owned.closing || !this.lease.isValid()) {
             return owned === undefined;
         }
-        if (!await this.handOvers.prepare(owned, progress)) {
+        if (!await this.handovers.prepare(owned, progress)) {
             return false;
         }
         if (this.owned.get(slot) === owned) {
--- a/packages/daemon/src/controllers/sweeper.ts
+++ b/packages/daemon/src/controllers/sweeper.ts
@@ -11,13 +11,13 @@
 import type { Slots } from "./slots.js";
 import type { Upstreams } from "./upstreams.js";
 
-const sweepMs = 5_000;
+const sweepIntervalMs = 5_000;
 const sweepTimeoutMs = 4_000;
 
 /** After an ownership change, a program that makes no call within this time loses its engine memory. */
 const unknownProgramGraceMs = 15_000;
 
-const endedSchema = z.array(z.string());
+const releasableSchema = z.array(z.string());
 
 /** Dependencies of {@link Sweeper}. */
 export interface SweeperDependencies {
@@ -41,7 +41,7 @@
     constructor(private readonly deps: SweeperDependencies) {}
 
     start(): void {
-        this.timer = setInterval(() => void this.sweep(), sweepMs);
+        this.timer = setInterval(() => void this.sweep(), sweepIntervalMs);
     }
 
     stop(): void {
@@ -103,7 +103,7 @@
         for (const [owner, programs] of this.groupByOwner(heldIds)) {
             for (const id of await this.queryOwner(owner, programs, progress)) {
                 this.deps.metrics.count("memory.swept");
-                this.deps.log.info("releasing prefix of ended program", {
+                this.deps.log.info("releasing prefix of ended or unknown program", {
                     worker,
                     program: this.deps.programs.decode(id)?.nonce,
                 });
@@ -126,6 +126,7 @@
         return groups;
     }
 
+    /** Asks a slot's owner which of the programs are releasable; returns none if the owner is not connected. */
     private async queryOwner(owner: string, programs: string[], progress: Progress): Promise<string[]> {
         if (owner === this.deps.identity.instance) {
             return this.selectReleasable(programs);
@@ -134,8 +135,8 @@
         if (peer === undefined) {
             return [];
         }
-        const ended = endedSchema.safeParse(await peer.link.ask({ kind: "live", programs }, progress));
-        return ended.success ? ended.data : [];
+        const releasable = releasableSchema.safeParse(await peer.link.ask({ kind: "live", programs }, progress));
+        return releasable.success ? releasable.data : [];
     }
 
     private pruneUnknown(): void {
--- a/packages/daemon/src/controllers/upstreams.ts
+++ b/packages/daemon/src/controllers/upstreams.ts
@@ -95,7 +95,7 @@
     }
 
     /** Concurrency limit of one worker that serves a model; 0 if no pool serves it. */
-    batchOf(model: string): number {
+    maxInFlightPerWorker(model: string): number {
         const pools = Object.values(this.options.bundle().pool).filter(pool => pool.models.includes(model));
         return Math.max(0, ...pools.map(pool => pool.maxInFlightPerWorker));
     }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -250,7 +250,7 @@
                     (this.bundles.current?.limits.outcomeRetentionSeconds ?? 0) * 1000 || defaultRetentionMs,
                 onOwned: () => {},
                 onReleased: slot => this.programs.removeSlot(slot),
-                beforeHandOver: record => this.programs.finalizeRecord(record),
+                beforeHandover: record => this.programs.finalizeRecord(record),
             },
             this.log,
             this.metrics,
@@ -329,6 +329,6 @@
         if (ask.kind === "handOver") {
             return await this.slots.handOver(ask.slot, progress);
         }
-        return ask.kind === "bundle" ? this.bundles.carriedBundle : this.sweeper.selectReleasable(ask.programs);
+        return ask.kind === "bundle" ? this.bundles.currentRelease : this.sweeper.selectReleasable(ask.programs);
     }
 }
--- a/packages/daemon/src/filters/historyFilter.ts
+++ b/packages/daemon/src/filters/historyFilter.ts
@@ -6,9 +6,9 @@
 /** Resolves the whole conversation, from the caller's messages alone or from the history that they extend. */
 export class HistoryFilter implements Filter<ChatContext> {
     async handle(ctx: ChatContext, next: () => Promise<void>): Promise<void> {
-        const { all, fresh } = ctx.program.history.resolve(ctx.req.messages, ctx.req.extends);
-        ctx.conversation = all;
-        ctx.newMessages = fresh;
+        const { conversation, newMessages } = ctx.program.history.resolve(ctx.req.messages, ctx.req.extends);
+        ctx.conversation = conversation;
+        ctx.newMessages = newMessages;
         await next();
     }
 }
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -6,7 +6,7 @@
 import { Daemon } from "./daemon.js";
 import { readSettings } from "./settings.js";
 
-const exitUsage = 2;
+const startupFailureExitCode = 2;
 
 const run = async (file: string): Promise<void> => {
     const daemon = new Daemon(readSettings(file));
@@ -42,7 +42,7 @@
         }
         catch (err) {
             process.stderr.write(`${asError(err).message}\n`);
-            process.exit(exitUsage);
+            process.exit(startupFailureExitCode);
         }
     });
 cli.help();
--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -79,7 +79,7 @@
         try {
             const program = this.deps.programs.load(req.program, claims, hold.slot);
             if (req.kind === "end") {
-                this.endWithReason(program, "ended");
+                this.endAndRecord(program, "ended");
             }
             return req.kind === "explain" ?
                 { ...describeProgram(program), decisions: program.decisions } :
@@ -92,10 +92,11 @@
 
     /** Ends a program at an operator's request. */
     cancel(program: ProgramState): void {
-        this.endWithReason(program, "cancelled");
+        this.endAndRecord(program, "cancelled");
     }
 
-    private endWithReason(program: ProgramState, reason: EndReason): void {
+    /** Ends a program, and records the end in the ledger if the program has an entry there. */
+    private endAndRecord(program: ProgramState, reason: EndReason): void {
         if (program.isEnded) {
             return;
         }
--- a/packages/daemon/src/programs/programHistory.ts
+++ b/packages/daemon/src/programs/programHistory.ts
@@ -18,7 +18,7 @@
     }
 
     /** Creates the history that a previous owner handed over: its digest and length are known, but not its messages. */
-    static fromHandOver(programId: string, digest: string, length: number): ProgramHistory {
+    static fromHandover(programId: string, digest: string, length: number): ProgramHistory {
         const history = new ProgramHistory(programId, false);
         history.newest = digest;
         history.length = length;
@@ -50,7 +50,7 @@
     resolve(
         messages: readonly Message[],
         extend: string | undefined,
-    ): { all: readonly Message[]; fresh: readonly Message[]; } {
+    ): { conversation: readonly Message[]; newMessages: readonly Message[]; } {
         if (extend === undefined) {
             return this.resolveFull(messages);
         }
@@ -64,23 +64,23 @@
                 `The history's digest is ${this.newest}, not ${extend}.`,
             );
         }
-        return { all: [...this.messages, ...messages], fresh: messages };
+        return { conversation: [...this.messages, ...messages], newMessages: messages };
     }
 
     /** Appends the messages and the answer of a successful call. */
-    commit(all: readonly Message[], fresh: readonly Message[], answer: Message): void {
+    commit(conversation: readonly Message[], newMessages: readonly Message[], answer: Message): void {
         if (!this.known) {
-            this.newest = extendHistoryDigest(emptyHistoryDigest(this.programId), all);
-            this.bytes = encodedBytes(all);
+            this.newest = extendHistoryDigest(emptyHistoryDigest(this.programId), conversation);
+            this.bytes = encodedBytes(conversation);
         }
         else {
-            this.newest = extendHistoryDigest(this.newest, fresh);
-            this.bytes += encodedBytes(fresh);
+            this.newest = extendHistoryDigest(this.newest, newMessages);
+            this.bytes += encodedBytes(newMessages);
         }
         this.known = true;
         this.newest = extendHistoryDigest(this.newest, [answer]);
         this.bytes += encodedBytes([answer]);
-        this.messages = [...all, answer];
+        this.messages = [...conversation, answer];
         this.length = this.messages.length;
     }
 
@@ -89,9 +89,11 @@
         this.messages = undefined;
     }
 
-    private resolveFull(messages: readonly Message[]): { all: readonly Message[]; fresh: readonly Message[]; } {
+    private resolveFull(
+        messages: readonly Message[],
+    ): { conversation: readonly Message[]; newMessages: readonly Message[]; } {
         if (!this.known) {
-            return { all: messages, fresh: messages };
+            return { conversation: messages, newMessages: messages };
         }
         if (messages.length <= this.length && this.length > 0) {
             throw new ProblemError(
@@ -104,7 +106,7 @@
         if (digest !== this.newest) {
             throw new ProblemError("history_mismatch", "notRun", "The messages do not extend this program's history.");
         }
-        return { all: messages, fresh: messages.slice(this.length) };
+        return { conversation: messages, newMessages: messages.slice(this.length) };
     }
 }
 
--- a/packages/daemon/src/programs/programState.ts
+++ b/packages/daemon/src/programs/programState.ts
@@ -73,7 +73,7 @@
         this.sequencer = new CallSequencer(isNew ? 1 : handedOver?.nextCall);
         this.history = handedOver === undefined ?
             new ProgramHistory(id, !isNew) :
-            ProgramHistory.fromHandOver(id, handedOver.historyDigest, handedOver.historyLength);
+            ProgramHistory.fromHandover(id, handedOver.historyDigest, handedOver.historyLength);
         this.turns = handedOver?.turns ?? 0;
         this.historyTokens = handedOver?.historyTokens ?? 0;
         if (entry?.ended === true) {
@@ -92,7 +92,7 @@
     }
 
     /** State that the next owner needs to continue the program; undefined if it is not fully known here. */
-    handOver(epoch: number): HandoverState | undefined {
+    createHandoverState(epoch: number): HandoverState | undefined {
         const { nextCall } = this.sequencer;
         const historyLength = this.history.knownLength;
         if (nextCall === undefined || historyLength === undefined) {
--- a/packages/daemon/src/workerPool.ts
+++ b/packages/daemon/src/workerPool.ts
@@ -1,4 +1,4 @@
-/** Gives the dispatcher its view of the workers. */
+/** Provides the dispatcher with load, cache and cost estimates of the workers. */
 import type { DispatchRequest, DispatchTarget } from "@marigolddrift/dispatch";
 import { expectedRoundTripMs } from "@marigolddrift/policy";
 import type { CostModel, WorkerView } from "@marigolddrift/policy";
@@ -14,8 +14,8 @@
     get(address: string): Upstream | undefined;
     costOf(worker: string): CostModel;
     regionOf(zone: string): string;
-    /** Number of calls that one worker runs concurrently. */
-    batchOf(model: string): number;
+    /** Concurrency limit of one worker that serves a model; 0 if no pool serves it. */
+    maxInFlightPerWorker(model: string): number;
 }
 
 /** The workers that the dispatcher can choose from. */
@@ -42,7 +42,7 @@
 
     capacity(model: string): number {
         const workers = this.upstreams.workersFor(model).filter(worker => worker.lifecycle.state === "live").length;
-        return workers * this.upstreams.batchOf(model);
+        return workers * this.upstreams.maxInFlightPerWorker(model);
     }
 
     onAssigned(worker: string): void {
--- a/tests/history/programHistory.test.ts
+++ b/tests/history/programHistory.test.ts
@@ -25,8 +25,8 @@
 
 describe("program history", () => {
     it("should accept the whole conversation and return the new messages", () => {
-        const { fresh } = oneTurn().resolve([user("a"), answer("b"), user("c")], undefined);
-        expect(fresh).toEqual([user("c")]);
+        const { newMessages } = oneTurn().resolve([user("a"), answer("b"), user("c")], undefined);
+        expect(newMessages).toEqual([user("c")]);
     });
 
     it("should reject a conversation that does not extend the history", () => {
@@ -38,8 +38,8 @@
 
     it("should accept only the new messages when the digest matches", () => {
         const history = oneTurn();
-        const { all } = history.resolve([user("c")], history.digest);
-        expect(all).toEqual([user("a"), answer("b"), user("c")]);
+        const { conversation } = history.resolve([user("c")], history.digest);
+        expect(conversation).toEqual([user("a"), answer("b"), user("c")]);
     });
 
     it("should reject the digest of another program", () => {
@@ -57,10 +57,10 @@
 
     it("should build on the digest that a previous owner handed over", () => {
         const { digest } = oneTurn();
-        const history = ProgramHistory.fromHandOver("p1", digest, 2);
+        const history = ProgramHistory.fromHandover("p1", digest, 2);
         expect(codeOf(() => history.resolve([user("x"), answer("b"), user("c")], undefined))).toEqual(
             "history_mismatch",
         );
-        expect(history.resolve([user("a"), answer("b"), user("c")], undefined).fresh).toEqual([user("c")]);
+        expect(history.resolve([user("a"), answer("b"), user("c")], undefined).newMessages).toEqual([user("c")]);
     });
 });
--- a/tests/ownership/slots.test.ts
+++ b/tests/ownership/slots.test.ts
@@ -49,7 +49,7 @@
             retentionMs: () => 86_400_000,
             onOwned: () => {},
             onReleased: () => {},
-            beforeHandOver: record => record,
+            beforeHandover: record => record,
         },
         silentLogger,
         createMetrics({ host: "", port: 8125 }, {}),
--- a/tests/storeFaults/intents.test.ts
+++ b/tests/storeFaults/intents.test.ts
@@ -24,8 +24,8 @@
         client.service(fleet.url(0), "cart-ops/orders", { "idempotency-key": key, "request-timeout": timeout }, {
             key,
         });
-    const setStoreDown = (on: boolean): void =>
-        fleet.standins.store.server.faults.apply({ fault: "down", on, ms: 0, count: 0 });
+    const setStoreDown = (isDown: boolean): void =>
+        fleet.standins.store.server.faults.apply({ fault: "down", on: isDown, ms: 0, count: 0 });
     const executions = (): Map<string, number> => [...fleet.standins.services.values()][0]!.counts();
 
     it("should report that an order did not run, and run it once when it is retried after the outage", async () => {
