--- a/packages/daemon/src/owner.ts
+++ b/packages/daemon/src/owner.ts
@@ -79,7 +79,7 @@
         try {
             const program = this.deps.programs.load(req.program, claims, hold.slot);
             if (req.kind === "end") {
-                this.endWithReason(program, "ended");
+                this.endAndRecord(program, "ended");
             }
             return req.kind === "explain" ?
                 { ...describeProgram(program), decisions: program.decisions } :
@@ -92,10 +92,11 @@
 
     /** Ends a program at an operator's request. */
     cancel(program: ProgramState): void {
-        this.endWithReason(program, "cancelled");
+        this.endAndRecord(program, "cancelled");
     }
 
-    private endWithReason(program: ProgramState, reason: EndReason): void {
+    /** Ends a program, and records the end in the ledger if the program has an entry there. */
+    private endAndRecord(program: ProgramState, reason: EndReason): void {
         if (program.isEnded) {
             return;
         }
@@ -205,7 +206,7 @@
             throw new ProblemError(
                 "idempotency_conflict",
                 "notRun",
-                `Call ${entry.call} was already sent with different content.`,
+                `Call ${entry.call} was sent before with another content.`,
             );
         }
         return entry?.log;
@@ -270,7 +271,7 @@
                         new ProblemError(
                             "caller_gone",
                             verdictOf(ctx.lifecycle),
-                            "All readers of the answer have disconnected.",
+                            "Nobody waits for the answer.",
                         ),
                     );
                 }
@@ -286,7 +287,7 @@
             const problem = new ProblemError(
                 "owner_unreachable",
                 verdict,
-                "The slot moved to another instance during the call.",
+                "The slot moved to another instance meanwhile.",
             );
             ctx.log.fail(problem, verdict);
             return;
