--- a/packages/cli/src/bundleCommands.ts
+++ b/packages/cli/src/bundleCommands.ts
@@ -7,7 +7,7 @@
 
 import { AdminClient } from "./adminClient.js";
 import { bundleTemplate } from "./bundleTemplate.js";
-import { diffIni } from "./diffLines.js";
+import { diffIni } from "./diffIni.js";
 
 const callTimeoutMs = 30_000;
 const healthGatePollMs = 500;
--- a/packages/daemon/src/controllers/poolOrders.ts
+++ b/packages/daemon/src/controllers/poolReconciler.ts
@@ -8,8 +8,8 @@
 import { instanceName } from "../peers/identity.js";
 import type { Identity } from "../peers/identity.js";
 import type { EngineClient, EngineLoadReport, EngineOrder } from "../upstreams/engineClient.js";
-import { instanceKey } from "./leaseKeeper.js";
-import type { InstanceLease } from "./leaseKeeper.js";
+import { instanceKey } from "./instanceLease.js";
+import type { InstanceLease } from "./instanceLease.js";
 import type { Membership } from "./membership.js";
 
 const tickMs = 2_000;
--- a/packages/daemon/src/controllers/slotAcquirer.ts
+++ b/packages/daemon/src/controllers/slotAcquirer.ts
@@ -5,7 +5,7 @@
 import type { Membership, Peer } from "./membership.js";
 import type { SlotClaims } from "./slotClaims.js";
 import type { SlotDirectory } from "./slotDirectory.js";
-import { handoverGraceMs } from "./slotHandOvers.js";
+import { handoverGraceMs } from "./slotHandovers.js";
 
 const maxConcurrentClaims = 8;
 const replyTimeoutMs = 2_000;
--- a/packages/daemon/src/controllers/slotClaims.ts
+++ b/packages/daemon/src/controllers/slotClaims.ts
@@ -18,7 +18,7 @@
 import { createNonce } from "../peers/handshake.js";
 import type { GroupCommit } from "./groupCommit.js";
 import { slotKey } from "./groupCommit.js";
-import { instanceKey } from "./leaseKeeper.js";
+import { instanceKey } from "./instanceLease.js";
 import { OwnedSlot } from "./ownedSlot.js";
 
 const claimTimeoutMs = 2_000;
--- a/packages/daemon/src/controllers/slots.ts
+++ b/packages/daemon/src/controllers/slots.ts
@@ -8,7 +8,7 @@
 import type { Identity } from "../peers/identity.js";
 import { NotOwnerError } from "../peers/peerErrors.js";
 import { GroupCommit } from "./groupCommit.js";
-import { InstanceLease } from "./leaseKeeper.js";
+import { InstanceLease } from "./instanceLease.js";
 import type { Membership } from "./membership.js";
 import { OwnedSlot } from "./ownedSlot.js";
 import type { Mutation } from "./ownedSlot.js";
@@ -16,7 +16,7 @@
 import { SlotAcquirer } from "./slotAcquirer.js";
 import { SlotClaims } from "./slotClaims.js";
 import { SlotDirectory } from "./slotDirectory.js";
-import { SlotHandovers } from "./slotHandOvers.js";
+import { SlotHandovers } from "./slotHandovers.js";
 
 const tickMs = 500;
 
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -8,13 +8,13 @@
 import type { InstanceList, Store } from "@marigolddrift/store";
 import { Agent } from "undici";
 
-import { BundleManager } from "./controllers/bundles.js";
+import { BundleManager } from "./controllers/bundleManager.js";
 import { Drain } from "./controllers/drain.js";
 import { EngineMemory } from "./controllers/engineMemory.js";
 import { LinkBudget } from "./controllers/linkBudget.js";
 import { Membership } from "./controllers/membership.js";
 import type { Peer } from "./controllers/membership.js";
-import { PoolReconciler } from "./controllers/poolOrders.js";
+import { PoolReconciler } from "./controllers/poolReconciler.js";
 import { Programs } from "./controllers/programs.js";
 import { Slots } from "./controllers/slots.js";
 import { Sweeper } from "./controllers/sweeper.js";
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,15 +1,15 @@
 /** Exports the daemon's components for tests and benchmarks. */
 export * from "./answerLog.js";
 export * from "./calls.js";
-export * from "./controllers/bundles.js";
+export * from "./controllers/bundleManager.js";
 export * from "./controllers/engineMemory.js";
 export * from "./controllers/groupCommit.js";
-export * from "./controllers/leaseKeeper.js";
+export * from "./controllers/instanceLease.js";
 export * from "./controllers/linkBudget.js";
 export { heartbeatPeriodMultiplier as stretchFor } from "./controllers/membership.js";
 export type { Member, Membership } from "./controllers/membership.js";
 export * from "./controllers/ownedSlot.js";
-export * from "./controllers/poolOrders.js";
+export * from "./controllers/poolReconciler.js";
 export * from "./controllers/slotDirectory.js";
 export * from "./controllers/slots.js";
 export * from "./controllers/upstream.js";
--- a/packages/gateway/src/budgets/budgets.ts
+++ b/packages/gateway/src/budgets/budgets.ts
@@ -4,8 +4,8 @@
 import type { StoredValue, VersionedStore } from "@marigolddrift/store";
 
 import type { Peers } from "../peers/peers.js";
-import { notDurableError } from "../state/groupWriter.js";
-import type { BatchWriter } from "../state/groupWriter.js";
+import { notDurableError } from "../state/batchWriter.js";
+import type { BatchWriter } from "../state/batchWriter.js";
 import { BudgetAccount } from "./budgetAccount.js";
 import { nextAllocationTokens, packBudget, unallocatedTokens } from "./budgetRecord.js";
 
--- a/packages/gateway/src/budgets/regionBudgets.ts
+++ b/packages/gateway/src/budgets/regionBudgets.ts
@@ -9,7 +9,7 @@
 import type { PeerClient } from "../peers/peerClient.js";
 import type { LocalInstance, PeerRequest, PeerResponses } from "../peers/peerMessages.js";
 import type { Peers } from "../peers/peers.js";
-import { notDurableError } from "../state/groupWriter.js";
+import { notDurableError } from "../state/batchWriter.js";
 import type { Budgets, Reservation } from "./budgets.js";
 
 /** Timeout of a reservation at the coordinator: that of a write to a store about to be considered unavailable. */
--- a/packages/gateway/src/filters/forwardFilter.ts
+++ b/packages/gateway/src/filters/forwardFilter.ts
@@ -14,9 +14,9 @@
 import { attemptCall } from "../upstreams/attempt.js";
 import type { AttemptResult } from "../upstreams/attempt.js";
 import type { Upstreams } from "../upstreams/upstreams.js";
-import { BufferedResponse, StreamedResponse } from "./answers.js";
 import { outgoingBody } from "./callContext.js";
 import type { CallContext } from "./callContext.js";
+import { BufferedResponse, StreamedResponse } from "./responseSinks.js";
 
 /** Number of upstreams that may refuse a call before the caller is asked to retry. */
 const maxRefusals = 3;
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -5,7 +5,7 @@
 
 import type { PromptPart } from "./call.js";
 import type { CallContext } from "./filters/callContext.js";
-import type { PeerLoad } from "./upstreams/sharedLoad.js";
+import type { PeerLoad } from "./upstreams/loadExchange.js";
 import type { Upstream, Upstreams } from "./upstreams/upstreams.js";
 
 /** Assumed cost model of a model engine; the maximum batch size is taken from the upstream's entry. */
--- a/packages/gateway/src/turns/storeArchive.ts
+++ b/packages/gateway/src/turns/storeArchive.ts
@@ -3,7 +3,7 @@
 import type { Logger, Progress } from "@marigolddrift/common";
 import type { VersionedStore } from "@marigolddrift/store";
 
-import type { BatchWriter } from "../state/groupWriter.js";
+import type { BatchWriter } from "../state/batchWriter.js";
 import { RecordRemover } from "./recordRemover.js";
 import { packTurn, unpackTurn } from "./turnRecord.js";
 import type { TurnRecord } from "./turnRecord.js";
--- a/packages/gateway/src/upstreams/attempt.ts
+++ b/packages/gateway/src/upstreams/attempt.ts
@@ -2,7 +2,7 @@
 import type { Progress } from "@marigolddrift/common";
 
 import type { CallProtocol, ReplyHead } from "../protocol.js";
-import { classifyReply } from "./replyCheck.js";
+import { classifyReply } from "./classifyReply.js";
 import type { OutgoingCall, ReplyListener, RunningCall } from "./upstreamConnections.js";
 import type { Upstream } from "./upstreams.js";
 
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -4,7 +4,7 @@
 export * from "./cacheView.js";
 export * from "./costModel.js";
 export * from "./distance.js";
-export * from "./loadBoard.js";
+export * from "./loadAggregator.js";
 export * from "./loopDetection.js";
 export * from "./ordering.js";
 export * from "./pauseModel.js";
--- a/packages/standins/src/standins.ts
+++ b/packages/standins/src/standins.ts
@@ -1,10 +1,10 @@
 /** Starts the stand-ins that are defined in the settings. */
 import { EngineStandin } from "./engine/engineStandin.js";
-import { InstanceListStandin } from "./listStandin.js";
+import { InstanceListStandin } from "./instanceListStandin.js";
 import { ServiceStandin } from "./serviceStandin.js";
 import type { EngineSettings, StandinSettings } from "./settings.js";
 import { StoreStandin } from "./store/storeStandin.js";
-import { WeightStoreStandin } from "./weightStandin.js";
+import { WeightStoreStandin } from "./weightStoreStandin.js";
 
 /** A set of stand-ins on loopback ports. */
 export class Standins {
